--- a/seampond/gateway/bounds.py
+++ b/seampond/gateway/bounds.py
@@ -9,12 +9,12 @@
 _GRACE_PART = 0.7
 
 
-def give_grace_ms(bounds: BoundSettings) -> int:
+def compute_grace_ms(bounds: BoundSettings) -> int:
     """Give how long a server whose row has gone is a fallback."""
     return round(bounds.drain_ms * _GRACE_PART)
 
 
-def make_margin(bounds: BoundSettings) -> Margin:
+def make_quota_margin(bounds: BoundSettings) -> Margin:
     """Give what may be given beyond a quota."""
     return Margin(
         bounds.quota_overrun,
--- a/seampond/gateway/parts.py
+++ b/seampond/gateway/components.py
@@ -14,14 +14,14 @@
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.retries import RetryBudget
 from seampond.forwarding.scheduler import Scheduler
-from seampond.gateway.beliefs import ConfigurationFollower, ServerFollower
 from seampond.gateway.bounds import (
-    give_grace_ms,
+    compute_grace_ms,
     make_exposure_limits,
-    make_margin,
+    make_quota_margin,
 )
+from seampond.gateway.followers import ConfigurationFollower, ServerFollower
 from seampond.gateway.rollouts import RolloutFollower
-from seampond.gateway.stalls import Stalls
+from seampond.gateway.stalls import EventLoopStalls
 from seampond.metrics.gateway import GatewayMetrics
 from seampond.permits.desk import Desk
 from seampond.permits.messages import Ask, Reply
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class GatewayParts:
+class GatewayComponents:
     """The state of one gateway, wired together."""
 
     settings: GatewaySettings
@@ -67,7 +67,7 @@
     rollouts: RolloutFollower
     quarantine: Quarantine
     desk: Desk
-    stalls: Stalls
+    stalls: EventLoopStalls
     watches: dict[str, Watch] = field(default_factory=dict)
     _pages: list[ToldPage] = field(default_factory=list)
 
@@ -102,9 +102,9 @@
         bounds = settings.bounds
         self.web.admission.proof_ms = bounds.proof_ms
         self.budget.set_bounds(bounds.retry_ratio, bounds.retry_allowance)
-        self.quotas.margin = make_margin(bounds)
+        self.quotas.margin = make_quota_margin(bounds)
         self.rollouts.rollouts.limits = make_exposure_limits(bounds)
-        self.backends.grace_ms = give_grace_ms(bounds)
+        self.backends.grace_ms = compute_grace_ms(bounds)
         return sorted(key for key in after if before.get(key) != after[key])
 
     def take_heartbeat(self, heartbeat: Heartbeat) -> None:
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -12,11 +12,11 @@
 from seampond.errors import PlatformError
 from seampond.forwarding.app import Stop
 from seampond.forwarding.web import CallerProtocol
-from seampond.gateway.parts import GatewayParts
-from seampond.gateway.rollouts import carry_out
-from seampond.gateway.stalls import watch_stalls
-from seampond.gateway.status import show_status
-from seampond.gateway.wiring import make_gateway
+from seampond.gateway.components import GatewayComponents
+from seampond.gateway.rollouts import execute_rollouts
+from seampond.gateway.stalls import record_stalls
+from seampond.gateway.status import build_status
+from seampond.gateway.wiring import make_components
 from seampond.pages import Pages, RenderedPage, render_page
 from seampond.platform import READY_PATH, open_table
 from seampond.platform.names import (
@@ -82,12 +82,12 @@
 class RunningGateway:
     """A running gateway."""
 
-    parts: GatewayParts
+    components: GatewayComponents
     server: WebServer
 
     def reload(self, settings: GatewaySettings) -> None:
         """Take changed settings; nothing that runs is touched."""
-        changed = self.parts.apply(settings)
+        changed = self.components.apply(settings)
         _logger.info('settings reloaded', extra={'changed': changed})
 
     async def drain(self) -> None:
@@ -98,8 +98,8 @@
         Callers are taken until the last request of the linger time is over:
         where all gateways stop in turn, nobody else would answer them.
         """
-        web, clock = self.parts.web, self.parts.clock
-        settings = self.parts.settings
+        web, clock = self.components.web, self.components.clock
+        settings = self.components.settings
         now_ms = clock.now()
         stop = Stop(
             now_ms + settings.linger_ms,
@@ -115,7 +115,7 @@
 
 @asynccontextmanager
 async def _watch(
-    parts: GatewayParts,
+    components: GatewayComponents,
     table: str,
     take: Callable[[Page], None],
     age_ms: int,
@@ -130,9 +130,9 @@
     """
 
     def count(step: str) -> None:
-        parts.metrics.store_failures.labels(step).inc()
+        components.metrics.store_failures.labels(step).inc()
 
-    store, clock = parts.settings.store, parts.clock
+    store, clock = components.settings.store, components.clock
     async with (
         open_table(store.address, table, clock) as source,
         open_table(store.address, table, clock) as probe_source,
@@ -144,85 +144,89 @@
             store.call_ms,
             clock,
             count,
-            parts.currencies[table],
+            components.currencies[table],
             pace.pause_ms,
             pace.gather_ms,
-            lambda: parts.peers.stretch,
-            lambda: parts.peers.follows,
+            lambda: components.peers.stretch,
+            lambda: components.peers.follows,
             pace.proves_first,
-            functools.partial(parts.pass_on, table),
+            functools.partial(components.pass_on, table),
         )
-        parts.watches[table] = watch
+        components.watches[table] = watch
         async with run_tasks(
             watch.run(),
-            keep_current(watch, age_ms, lambda: parts.peers.rank, clock),
+            keep_current(watch, age_ms, lambda: components.peers.rank, clock),
         ):
             yield
 
 
 @asynccontextmanager
-async def _share(parts: GatewayParts) -> AsyncIterator[None]:
+async def _share(components: GatewayComponents) -> AsyncIterator[None]:
     """Make ourselves known and exchange heartbeats until the end."""
-    settings, clock = parts.settings, parts.clock
+    settings, clock = components.settings, components.clock
     sharing = Sharing(
-        parts.peers,
-        parts.make_heartbeat,
-        parts.note_told,
-        parts.take_heartbeat,
-        parts.is_urgent,
+        components.peers,
+        components.make_heartbeat,
+        components.note_told,
+        components.take_heartbeat,
+        components.is_urgent,
         clock,
-        lambda kind: parts.metrics.dropped.labels(kind).inc(),
-        parts.take_permit,
+        lambda kind: components.metrics.dropped.labels(kind).inc(),
+        components.take_permit,
     )
     async with (
         open_table(settings.store.address, GATEWAYS_TABLE, clock) as table,
         share(settings.peer_listen, sharing) as send_permit,
-        run_tasks(register(table, parts.peers, settings.peer_listen, clock)),
+        run_tasks(
+            register(table, components.peers, settings.peer_listen, clock)
+        ),
     ):
-        parts.desk.send = send_permit
+        components.desk.send = send_permit
         yield
-        await unregister(table, parts.peers)
+        await unregister(table, components.peers)
 
 
-def _take_operators(parts: GatewayParts, page: Page) -> None:
+def _take_operators(components: GatewayComponents, page: Page) -> None:
     """Take what operators have written: configurations and orders."""
-    parts.configuration.take(page)
-    parts.rollouts.take_orders(page)
+    components.configuration.take(page)
+    components.rollouts.take_orders(page)
 
 
-async def _follow_states(parts: GatewayParts) -> None:
+async def _follow_states(components: GatewayComponents) -> None:
     """Follow the states of roll-outs while an order is carried out.
 
     Explanation
     -----------
     Each call to the store is priced, and most of the time there is no order.
     """
-    follower = parts.rollouts
+    follower = components.rollouts
     while True:
         await follower.is_wanted.wait()
         async with _watch(
-            parts, STATUS_TABLE, follower.take_states, _PROOF_MS, _URGENT
+            components, STATUS_TABLE, follower.take_states, _PROOF_MS, _URGENT
         ):
             while follower.is_wanted.is_set():
-                await parts.clock.sleep(_LOOK_MS)
-        parts.watches.pop(STATUS_TABLE)
+                await components.clock.sleep(_LOOK_MS)
+        components.watches.pop(STATUS_TABLE)
 
 
 @asynccontextmanager
-async def _run_rollouts(parts: GatewayParts) -> AsyncIterator[None]:
+async def _run_rollouts(components: GatewayComponents) -> AsyncIterator[None]:
     """Carry out orders of roll-outs until the end of the `with`."""
-    clock, address = parts.clock, parts.settings.store.address
+    clock, address = components.clock, components.settings.store.address
     async with (
         open_table(address, STATUS_TABLE, clock) as table,
         run_tasks(
-            _follow_states(parts),
-            watch_stalls(parts.stalls, parts.rollouts.is_wanted, clock),
-            carry_out(
-                parts.rollouts,
+            _follow_states(components),
+            record_stalls(
+                components.stalls, components.rollouts.is_wanted, clock
+            ),
+            execute_rollouts(
+                components.rollouts,
                 table,
-                lambda: parts.peers.rank,
-                parts.is_urgent.set,
-                parts.promises,
+                lambda: components.peers.rank,
+                components.is_urgent.set,
+                components.promises,
                 clock,
             ),
         ),
@@ -230,7 +234,7 @@
         yield
 
 
-async def _read_trials(parts: GatewayParts) -> None:
+async def _read_trials(components: GatewayComponents) -> None:
     """Learn what was in quarantine before our start.
 
     Explanation
@@ -239,27 +243,27 @@
     after each loss of all gateways.  A table that cannot be read while the
     configuration can is not waited for without end.
     """
-    trials = parts.quarantine.trials
+    trials = components.quarantine.trials
     tries = 0
     while not trials.is_known:
         try:
             await trials.read()
         except PlatformError as error:
-            tries += parts.belief.configuration is not None
+            tries += components.belief.configuration is not None
             trials.is_known = tries >= _TRIALS_TRIES
             _logger.warning('trials not read', extra={'reason': error.message})
-            await parts.clock.sleep(_TRIALS_PAUSE_MS)
+            await components.clock.sleep(_TRIALS_PAUSE_MS)
 
 
 @asynccontextmanager
-async def _run_quarantine(parts: GatewayParts) -> AsyncIterator[None]:
+async def _run_quarantine(components: GatewayComponents) -> AsyncIterator[None]:
     """Hold the table of trials open until the end of the `with`."""
-    address = parts.settings.store.address
-    trials = parts.quarantine.trials
-    async with open_table(address, QUARANTINE_TABLE, parts.clock) as table:
+    address = components.settings.store.address
+    trials = components.quarantine.trials
+    async with open_table(address, QUARANTINE_TABLE, components.clock) as table:
         trials.table = QuarantineTable(table)
         trials.is_known = False
-        async with run_tasks(_read_trials(parts)):
+        async with run_tasks(_read_trials(components)):
             yield
         trials.table = None
 
@@ -283,7 +287,7 @@
     await send({'type': 'http.response.body', 'body': page.body})
 
 
-def make_app(parts: GatewayParts) -> ASGIApp:
+def make_app(components: GatewayComponents) -> ASGIApp:
     """Give one application for callers, the balancer and operators.
 
     Explanation
@@ -292,19 +296,19 @@
     process ten times a second.
     """
     pages = Pages(
-        parts.metrics.registry,
-        lambda: parts.is_ready,
-        functools.partial(show_status, parts),
+        components.metrics.registry,
+        lambda: components.is_ready,
+        functools.partial(build_status, components),
         READY_PATH,
     )
-    settings = parts.settings
+    settings = components.settings
     other = {_port(settings.ready_listen), _port(settings.metrics_listen)}
 
     async def dispatch(scope: Scope, receive: Receive, send: Send) -> None:
         if scope['server'][1] in other:
             await _send_page(render_page(pages, scope['path']), send)
         else:
-            await parts.web(scope, receive, send)
+            await components.web(scope, receive, send)
 
     return dispatch
 
@@ -314,44 +318,46 @@
     settings: GatewaySettings, clock: Clock
 ) -> AsyncIterator[RunningGateway]:
     """Run a gateway until the end of the `with`."""
-    parts = make_gateway(settings, clock)
+    components = make_components(settings, clock)
     bounds = settings.bounds
     drain_ms = bounds.stop_ms - settings.linger_ms - _STOP_MARGIN_MS
     async with AsyncExitStack() as stack:
         for table, take, age_ms, pace in (
             (
                 CONFIGURATION_TABLE,
-                functools.partial(_take_operators, parts),
+                functools.partial(_take_operators, components),
                 _PROOF_MS,
                 _URGENT,
             ),
-            (SERVERS_TABLE, parts.servers.take, _PROOF_MS, _CALM),
+            (SERVERS_TABLE, components.servers.take, _PROOF_MS, _CALM),
             (
                 GATEWAYS_TABLE,
-                functools.partial(take_gateways, parts.peers),
+                functools.partial(take_gateways, components.peers),
                 _GATEWAYS_PROOF_MS,
                 _CALM,
             ),
         ):
             await stack.enter_async_context(
-                _watch(parts, table, take, age_ms, pace)
+                _watch(components, table, take, age_ms, pace)
             )
-        await stack.enter_async_context(_share(parts))
-        await stack.enter_async_context(_run_rollouts(parts))
-        await stack.enter_async_context(_run_quarantine(parts))
+        await stack.enter_async_context(_share(components))
+        await stack.enter_async_context(_run_rollouts(components))
+        await stack.enter_async_context(_run_quarantine(components))
         await stack.enter_async_context(
-            run_tasks(watch_suspension(parts.metrics.note_suspended, clock))
+            run_tasks(
+                watch_suspension(components.metrics.note_suspended, clock)
+            )
         )
         server = await stack.enter_async_context(
             serve_http(
-                make_app(parts),
+                make_app(components),
                 settings.listen,
                 settings.ready_listen,
                 settings.metrics_listen,
                 drain_ms=max(1, drain_ms),
                 protocol=functools.partial(
-                    CallerProtocol, lambda: parts.web.admission.limits
+                    CallerProtocol, lambda: components.web.admission.limits
                 ),
             )
         )
-        yield RunningGateway(parts, server)
+        yield RunningGateway(components, server)
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -120,7 +120,7 @@
             )
 
 
-async def carry_out(
+async def execute_rollouts(
     follower: RolloutFollower,
     writer: ChangeWriter,
     rank: Callable[[], int],
--- a/seampond/gateway/stalls.py
+++ b/seampond/gateway/stalls.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Stalls:
+class EventLoopStalls:
     """When the process did not run that should have, in its own time.
 
     Explanation
@@ -24,7 +24,7 @@
 
     Examples
     --------
-    >>> stalls = Stalls()
+    >>> stalls = EventLoopStalls()
     >>> stalls.note(1000, 1200)
     >>> stalls.sum_ms(0, 2000), stalls.sum_ms(1150, 2000), stalls.sum_ms(0, 9)
     (200, 50, 0)
@@ -48,8 +48,8 @@
         return sum(part for part in parts if part > 0)
 
 
-async def watch_stalls(
-    stalls: Stalls, is_wanted: asyncio.Event, clock: Clock
+async def record_stalls(
+    stalls: EventLoopStalls, is_wanted: asyncio.Event, clock: Clock
 ) -> None:
     """Note stalls for as long as somebody wants to know."""
     while True:
--- a/seampond/gateway/status.py
+++ b/seampond/gateway/status.py
@@ -1,12 +1,12 @@
 """What operators see of one gateway."""
 
-from seampond.gateway.parts import GatewayParts
+from seampond.gateway.components import GatewayComponents
 
 
-def show_status(parts: GatewayParts) -> dict[str, object]:
+def build_status(components: GatewayComponents) -> dict[str, object]:
     """Give what operators see on ``/status``."""
-    now_ms = parts.clock.now()
-    admission = parts.web.admission
+    now_ms = components.clock.now()
+    admission = components.web.admission
     servers = [
         {
             'id': backend.server.id,
@@ -22,17 +22,17 @@
             'service_ms': round(backend.speed.service_ms, 1),
             'failures': backend.failures,
         }
-        for backend in parts.backends
+        for backend in components.backends
     ]
     return {
-        'name': parts.settings.name,
-        'zone': parts.settings.zone,
-        'ready': parts.is_ready,
-        'stopping': parts.web.is_stopping,
+        'name': components.settings.name,
+        'zone': components.settings.zone,
+        'ready': components.is_ready,
+        'stopping': components.web.is_stopping,
         'version': admission.version,
         'proof_age_ms': admission.proof_age_ms,
-        'open': parts.web.open_requests,
-        'waiting': parts.scheduler.waiting,
+        'open': components.web.open_requests,
+        'waiting': components.scheduler.waiting,
         'servers': servers,
         'rollouts': [
             {
@@ -45,6 +45,6 @@
                 'answers': rollout.evidence.new_answers.answers,
                 'bad': rollout.evidence.new_answers.bad,
             }
-            for rollout in parts.rollouts.rollouts.running
+            for rollout in components.rollouts.rollouts.running
         ],
     }
--- a/seampond/gateway/tests/saying_case.py
+++ b/seampond/gateway/tests/saying_case.py
@@ -50,7 +50,7 @@
     async def drive(self, for_ms: int) -> int:
         """Bring requests for a while; give when that began."""
         since_ms = self.saying.clock.now()
-        addresses = [one.parts.settings.listen for one in self.gateways]
+        addresses = [one.components.settings.listen for one in self.gateways]
         await self.saying.keep_asking(
             addresses, lambda number: b'%d' % number, _EVERY_MS, for_ms
         )
@@ -65,8 +65,8 @@
                 self.assertGreater(float(one.headers['retry-after']), 0)
 
     def _is_up(self, gateway: RunningGateway) -> bool:
-        parts = gateway.parts
-        is_known = len(parts.backends) == SERVERS
-        is_listed = parts.peers.count == len(self.gateways)
-        is_proved = parts.web.admission.is_proved
-        return parts.is_ready and is_proved and is_known and is_listed
+        components = gateway.components
+        is_known = len(components.backends) == SERVERS
+        is_listed = components.peers.count == len(self.gateways)
+        is_proved = components.web.admission.is_proved
+        return components.is_ready and is_proved and is_known and is_listed
--- a/seampond/gateway/tests/test_ages.py
+++ b/seampond/gateway/tests/test_ages.py
@@ -14,7 +14,7 @@
     async def test_a_gateway_that_is_behind_says_so(self) -> None:
         """Its proof grows old; what it lacks and knows of has an age."""
         gateway = await self.start_ready()
-        registry = gateway.parts.metrics.registry
+        registry = gateway.components.metrics.registry
         labels = {'table': CONFIGURATION_TABLE}
 
         def read(name: str, **words: str) -> float:
@@ -24,7 +24,7 @@
 
         self.assertFalse(read('table_missing_seconds', **labels))
         self.store.is_down = True
-        currency = gateway.parts.currencies[CONFIGURATION_TABLE]
+        currency = gateway.components.currencies[CONFIGURATION_TABLE]
         currency.take_proof(Proof(currency.version + 1, _LATER_MS))
         await until_true(lambda: read('table_missing_seconds', **labels))
         self.assertTrue(read('configuration_proof_age_seconds'))
--- a/seampond/gateway/tests/test_callers.py
+++ b/seampond/gateway/tests/test_callers.py
@@ -27,14 +27,14 @@
         self.serve = hold  # type: ignore[method-assign]
         gateway = await self.start_ready()
         self.list_server(slots=1)
-        scheduler = gateway.parts.scheduler
-        backends = gateway.parts.backends
+        scheduler = gateway.components.scheduler
+        backends = gateway.components.backends
         await until_true(
             lambda: all(known.server.slots == 1 for known in backends)
         )
         first = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
-        second = await self._open(gateway.parts.settings.listen, 'r2')
+        second = await self._open(gateway.components.settings.listen, 'r2')
         await until_true(lambda: scheduler.waiting == 1)
         second.transport.abort()
         await until_true(lambda: scheduler.waiting == 0)
@@ -47,7 +47,7 @@
     async def test_ready_gateway_takes_callers_beside_a_crowd(self) -> None:
         """Connections that rest, and heads that never end, hold nobody up."""
         gateway = await self.start_ready()
-        address = gateway.parts.settings.listen
+        address = gateway.components.settings.listen
         for number in range(_RESTING):
             writer = await self._connect(address)
             if number % 2:
--- a/seampond/gateway/tests/test_catching_up.py
+++ b/seampond/gateway/tests/test_catching_up.py
@@ -40,11 +40,11 @@
     async def test_a_cut_ends_with_the_newest_configuration(self) -> None:
         """However many versions were missed, and however slowly they come."""
         gateway = await self.start_ready()
-        admission = gateway.parts.web.admission
+        admission = gateway.components.web.admission
         self.store.is_down = True
         # The change ends the call that waits; the ones after it fail.
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: gateway.parts.is_cut)
+        await until_true(lambda: gateway.components.is_cut)
         for version in range(3, _VERSIONS):
             row = ConfigurationRow(version=version, other_tenants=_TENANTS)
             put_configuration(self.store, row)
@@ -56,7 +56,7 @@
         """The route or the key may have been added; callers try again."""
         gateway = await self.start_ready()
         self.store.is_down = True
-        currency = gateway.parts.currencies[CONFIGURATION_TABLE]
+        currency = gateway.components.currencies[CONFIGURATION_TABLE]
         currency.take_proof(Proof(currency.version + 1, _LATER_MS))
         for path, key in (('/new/', 'k1'), ('/x/y', 'new')):
             response = await self.ask(gateway, path, key)
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -90,7 +90,7 @@
     ) -> int:
         """Bring 20 sound requests a second and others; give the start."""
         since_ms = fleet.clock.now()
-        addresses = [one.parts.settings.listen for one in gateways]
+        addresses = [one.components.settings.listen for one in gateways]
         async with asyncio.TaskGroup() as group:
             group.create_task(
                 fleet.keep_asking(addresses, _make_sound, 50, for_ms)
@@ -164,7 +164,7 @@
     async def test_a_gateway_that_was_cut_off_hears_of_it(self) -> None:
         """The others tell it for as long as the quarantine lasts."""
         fleet, gateways = await self.open_fleet()
-        first, second = (one.parts for one in gateways)
+        first, second = (one.components for one in gateways)
         hear = second.peers.take_heartbeat
         with patch.object(second.peers, 'take_heartbeat', lambda told: False):
             await self.drive(
@@ -184,7 +184,7 @@
         fleet.patience_ms = 4000
         for server in fleet.servers:
             server.run_ms = 800
-        addresses = [one.parts.settings.listen for one in gateways]
+        addresses = [one.components.settings.listen for one in gateways]
         bodies = [_make_sound(number) for number in range(20 * _SERVERS)]
         asked = []
         for body in bodies:
@@ -212,9 +212,9 @@
             await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=3000)
         self.assertEqual(len(fleet.ends_ms), ends)
         for gateway in gateways:
-            self.assertEqual(len(gateway.parts.quarantine.suspects), 0)
+            self.assertEqual(len(gateway.components.quarantine.suspects), 0)
             status = await fleet.ask(
-                gateway.parts.settings.listen, CRASHING_BODY
+                gateway.components.settings.listen, CRASHING_BODY
             )
             self.assertEqual(status, HTTPStatus.OK)
         self.assertTrue(is_out_of_quarantine(self.store))
@@ -271,13 +271,17 @@
 
 
 def _is_up(gateway: RunningGateway) -> bool:
-    parts = gateway.parts
-    is_known = len(parts.backends) == _SERVERS and parts.peers.count == 2
-    return parts.is_ready and parts.web.admission.is_proved and is_known
+    components = gateway.components
+    is_known = (
+        len(components.backends) == _SERVERS and components.peers.count == 2
+    )
+    return (
+        components.is_ready and components.web.admission.is_proved and is_known
+    )
 
 
 def _knows_rows(gateway: RunningGateway) -> bool:
-    known = gateway.parts.quarantine.trials
+    known = gateway.components.quarantine.trials
     return known.is_quarantined(_key_of(CRASHING_BODY))
 
 
--- a/seampond/gateway/tests/test_eras.py
+++ b/seampond/gateway/tests/test_eras.py
@@ -29,7 +29,7 @@
     async def open(self) -> RunningGateway:
         """Start the gateway; note the moment of the copy."""
         gateway = await self.start_ready()
-        await until_true(lambda: gateway.parts.peers.own_version)
+        await until_true(lambda: gateway.components.peers.own_version)
         await asyncio.sleep(0.05)
         self.copied_ms = self.store.clock.now()
         await asyncio.sleep(0.05)
@@ -50,7 +50,7 @@
 
     def version_of(self, gateway: RunningGateway) -> int:
         """Give the version of the configuration in force."""
-        configuration = gateway.parts.belief.configuration
+        configuration = gateway.components.belief.configuration
         return configuration.version if configuration else 0
 
     async def test_what_is_written_then_is_known(self) -> None:
@@ -63,7 +63,7 @@
         put_configuration(self.store, ConfigurationRow(version=3))
         put_server(self.store, 'i-2', self.server.address)
         await until_true(lambda: self.version_of(gateway) == 3, 3)
-        await until_true(lambda: gateway.parts.backends.get('i-2'), 3)
+        await until_true(lambda: gateway.components.backends.get('i-2'), 3)
 
     async def test_an_older_configuration_is_no_news(self) -> None:
         """It stays in force until a newer one comes."""
@@ -89,11 +89,11 @@
         """Its row says again what it said before."""
         gateway = await self.open()
         self.list_server(state=_LEAVING)
-        backend = pick(gateway.parts.backends, 'i-1')
+        backend = pick(gateway.components.backends, 'i-1')
         await until_true(lambda: not backend.takes_work)
         await self.lose()
         put_server(self.store, 'i-2', self.server.address)
-        await until_true(lambda: gateway.parts.backends.get('i-2'), 3)
+        await until_true(lambda: gateway.components.backends.get('i-2'), 3)
         self.assertFalse(backend.takes_work)
 
     async def test_our_own_row_is_written_again(self) -> None:
@@ -105,7 +105,7 @@
         await asyncio.sleep(0.05)
         self.list_server()
         gateway = await self.start()
-        await until_true(lambda: gateway.parts.peers.own_version)
+        await until_true(lambda: gateway.components.peers.own_version)
         await self.lose()
         self.assertTrue(is_gateway_gone(self.store, 'g1'))
         await until_true(lambda: not is_gateway_gone(self.store, 'g1'), 4)
--- a/seampond/gateway/tests/test_beliefs.py
+++ b/seampond/gateway/tests/test_followers.py
@@ -5,7 +5,7 @@
 
 from seampond.clock import Clock
 from seampond.forwarding.scheduler import Scheduler
-from seampond.gateway.beliefs import ServerFollower
+from seampond.gateway.followers import ServerFollower
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import ZONE, build_backends
 from seampond.watches import Page, Row
@@ -58,7 +58,7 @@
 
     def test_bad_row_harms_no_other(self) -> None:
         """A row that cannot be read is passed over and told."""
-        with self.assertLogs('seampond.gateway.beliefs', 'ERROR'):
+        with self.assertLogs('seampond.gateway.followers', 'ERROR'):
             self.follower.take(_page(Row('i-3', b'{', 2), _row('i-2', 3)))
         self.assertEqual(self._listed(), ['i-1', 'i-2'])
 
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -123,7 +123,8 @@
         gateway = await self.start(**changes)
         await until_true(
             lambda: (
-                gateway.parts.is_ready and gateway.parts.web.admission.is_proved
+                gateway.components.is_ready
+                and gateway.components.web.admission.is_proved
             )
         )
         return gateway
@@ -139,7 +140,7 @@
         headers = {'Host': HOST, ID_HEADER: request_id}
         if key:
             headers['Authorization'] = f'Token {key}'
-        address = gateway.parts.settings.listen
+        address = gateway.components.settings.listen
         return await self.client.request(
             f'http://{address}{path}',
             method='POST',
@@ -150,7 +151,7 @@
     async def send_chunked(self, target: str, chunks: bytes) -> Received:
         """Send a body in chunks; give what the server got of the request."""
         gateway = await self.start_ready()
-        host, _, port = gateway.parts.settings.listen.rpartition(':')
+        host, _, port = gateway.components.settings.listen.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         self.addCleanup(writer.close)
         lines = (
@@ -211,7 +212,7 @@
         self.serve = answer_head  # type: ignore[method-assign]
         gateway = await self.start_ready()
         response = await self.client.request(
-            f'http://{gateway.parts.settings.listen}/x/y',
+            f'http://{gateway.components.settings.listen}/x/y',
             method='HEAD',
             headers={
                 'Host': HOST,
@@ -228,8 +229,8 @@
         put_configuration(self.store, row)
         self.list_server()
         gateway = await self.start()
-        await until_true(lambda: gateway.parts.is_ready)
-        await until_true(lambda: gateway.parts.web.admission.is_proved)
+        await until_true(lambda: gateway.components.is_ready)
+        await until_true(lambda: gateway.components.web.admission.is_proved)
         for _ in range(8):
             self.assertEqual((await self.ask(gateway)).status_code, 200)
 
@@ -237,18 +238,18 @@
         """By their rows, then by their heartbeats."""
         first = await self.start_ready()
         second = await self.start(name='g2')
-        peers = [gateway.parts.peers for gateway in (first, second)]
+        peers = [gateway.components.peers for gateway in (first, second)]
         await until_true(lambda: all(one.all_heard for one in peers))
         self.assertEqual([one.count for one in peers], [2, 2])
 
     async def test_stopped_gateway_is_forgotten_at_once(self) -> None:
         """Its last heartbeat and its row tell; a kill tells nothing."""
         first = await self.start_ready()
-        peers = first.parts.peers
+        peers = first.components.peers
         settings = build_settings(self.store.address, name='g2')
         async with run_gateway(settings, Clock()) as second:
             await until_true(lambda: peers.count == 2 and peers.all_heard)
-            known = second.parts.peers
+            known = second.components.peers
             await until_true(lambda: known.own_version)
         await until_true(lambda: peers.count == 1 and peers.all_heard)
         self.assertTrue(is_gateway_gone(self.store, 'g2'))
@@ -272,18 +273,18 @@
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, 503)
         self.assertGreater(float(response.headers['retry-after']), 0)
-        self.assertFalse(gateway.parts.is_ready)
+        self.assertFalse(gateway.components.is_ready)
 
     async def test_new_configuration_is_in_force(self) -> None:
         """A key that was taken away gets 401; an older version nothing."""
         gateway = await self.start_ready()
         row = ConfigurationRow(version=3, keys=('k2',))
         put_configuration(self.store, row)
-        await until_true(lambda: gateway.parts.web.admission.version == 3)
+        await until_true(lambda: gateway.components.web.admission.version == 3)
         self.assertEqual((await self.ask(gateway)).status_code, 401)
         put_configuration(self.store, ConfigurationRow(version=2))
         await asyncio.sleep(0.1)
-        self.assertEqual(gateway.parts.web.admission.version, 3)
+        self.assertEqual(gateway.components.web.admission.version, 3)
         self.assertEqual((await self.ask(gateway)).status_code, 401)
 
     async def test_without_proof_no_key_is_served(self) -> None:
@@ -291,7 +292,7 @@
         bounds = BoundSettings(revoke_ms=900, proof_margin_ms=100)
         store = StoreSettings(address=self.store.address, wait_ms=200)
         gateway = await self.start_ready(bounds=bounds, store=store)
-        admission = gateway.parts.web.admission
+        admission = gateway.components.web.admission
         await until_true(lambda: _age_ms(admission) < 400)
         self.assertEqual((await self.ask(gateway)).status_code, 200)
         self.store.is_down = True
@@ -305,10 +306,10 @@
         """While it has seen no change that we lack; then it does not."""
         gateway = await self.start_ready()
         put_gateway(self.store, 'g2')
-        parts, clock = gateway.parts, self.store.clock
-        await until_true(lambda: parts.peers.count == 2)
+        components, clock = gateway.components, self.store.clock
+        await until_true(lambda: components.peers.count == 2)
         self.store.is_down = True
-        admission = parts.web.admission
+        admission = components.web.admission
         changed = read_configuration_version(self.store)
         for sequence, newer in ((1, 0), (2, 100)):
             await clock.sleep(300)
@@ -323,15 +324,15 @@
                     key_of('other'): proof,
                 },
             )
-            self.assertTrue(parts.peers.take_heartbeat(heartbeat))
-            parts.take_heartbeat(heartbeat)
+            self.assertTrue(components.peers.take_heartbeat(heartbeat))
+            components.take_heartbeat(heartbeat)
             is_younger = _age_ms(admission) < before_ms - 100
             self.assertEqual(is_younger, not newer)
 
     async def test_draining_and_gone_servers_get_nothing(self) -> None:
         """The list's word is heeded at once."""
         gateway = await self.start_ready()
-        backends = gateway.parts.backends
+        backends = gateway.components.backends
         self.list_server(state='draining')
         await until_true(lambda: not any(one.takes_work for one in backends))
         response = await self.ask(gateway)
@@ -358,7 +359,7 @@
         asked = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
-        await until_true(lambda: not gateway.parts.is_ready)
+        await until_true(lambda: not gateway.components.is_ready)
         release.set()
         response = await asked
         self.assertEqual(response.status_code, 200)
@@ -368,20 +369,20 @@
     async def test_reload_takes_bounds_and_cuts_nothing(self) -> None:
         """What changed is told and counts from now on."""
         gateway = await self.start_ready()
-        before = gateway.parts.settings
+        before = gateway.components.settings
         bounds = msgspec.structs.replace(before.bounds, revoke_ms=3000)
         after = msgspec.structs.replace(before, bounds=bounds)
         with self.assertLogs('seampond.gateway.daemon') as logs:
             gateway.reload(after)
         changed = getattr(logs.records[0], 'changed', None)
         self.assertEqual(changed, ['bounds.revoke_ms'])
-        self.assertEqual(gateway.parts.web.admission.proof_ms, 2600)
+        self.assertEqual(gateway.components.web.admission.proof_ms, 2600)
         self.assertEqual((await self.ask(gateway)).status_code, 200)
 
     async def test_pages_for_balancer_and_operators(self) -> None:
         """Ready, status and metrics on their own addresses."""
         gateway = await self.start_ready()
-        settings = gateway.parts.settings
+        settings = gateway.components.settings
         for address, path in (
             (settings.ready_listen, '/ready'),
             (settings.metrics_listen, '/metrics'),
--- a/seampond/gateway/tests/test_leaves.py
+++ b/seampond/gateway/tests/test_leaves.py
@@ -27,7 +27,7 @@
     async def test_a_word_binds_while_the_store_is_away(self) -> None:
         """Who has heard of a leave sends nothing more, store or no store."""
         gateway = await self.start_ready()
-        backends = gateway.parts.backends
+        backends = gateway.components.backends
         self.list_server(state='draining')
         await until_true(lambda: not any(one.takes_work for one in backends))
         self.store.is_down = True
@@ -43,7 +43,7 @@
         bounds = BoundSettings(drain_ms=_LONG_DRAIN_MS)
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
-        backends = gateway.parts.backends
+        backends = gateway.components.backends
         await until_true(lambda: not any(one.takes_work for one in backends))
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, HTTPStatus.OK)
@@ -53,8 +53,8 @@
         bounds = BoundSettings(drain_ms=_DRAIN_MS)
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
-        backends = gateway.parts.backends
-        clock = gateway.parts.clock
+        backends = gateway.components.backends
+        clock = gateway.components.clock
         await until_true(lambda: not any(one.takes_work for one in backends))
         await clock.sleep(_DRAIN_MS)
         response = await self.ask(gateway)
@@ -66,9 +66,9 @@
         bounds = BoundSettings(drain_ms=_DRAIN_MS)
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
-        backends = gateway.parts.backends
+        backends = gateway.components.backends
         await until_true(lambda: not any(one.takes_work for one in backends))
-        await gateway.parts.clock.sleep(_DRAIN_MS)
+        await gateway.components.clock.sleep(_DRAIN_MS)
         self.list_server()
         await until_true(lambda: any(one.takes_work for one in backends))
         response = await self.ask(gateway)
@@ -97,7 +97,9 @@
         asked = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
-        await gateway.parts.clock.sleep(3 * gateway.parts.settings.linger_ms)
+        await gateway.components.clock.sleep(
+            3 * gateway.components.settings.linger_ms
+        )
         status = 0
         with suppress(OSError):
             response = await self.ask(gateway, request_id='r2')
@@ -114,7 +116,7 @@
         asked = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
-        await until_true(lambda: not gateway.parts.is_ready)
+        await until_true(lambda: not gateway.components.is_ready)
         response = await self.ask(gateway, request_id='r2')
         self.assertEqual(response.status_code, HTTPStatus.SERVICE_UNAVAILABLE)
         self.assertGreater(float(response.headers['retry-after']), 0)
@@ -129,12 +131,14 @@
         put_configuration(
             self.store, ConfigurationRow(version=2, kind='streaming')
         )
-        admission = gateway.parts.web.admission
+        admission = gateway.components.web.admission
         await until_true(lambda: admission.version == 2)
         asked = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
-        await gateway.parts.clock.sleep(2 * gateway.parts.settings.linger_ms)
+        await gateway.components.clock.sleep(
+            2 * gateway.components.settings.linger_ms
+        )
         response = await self.ask(gateway, request_id='r2')
         self.assertEqual(response.status_code, HTTPStatus.SERVICE_UNAVAILABLE)
         self.assertGreater(float(response.headers['retry-after']), 1)
--- a/seampond/gateway/tests/test_limits.py
+++ b/seampond/gateway/tests/test_limits.py
@@ -33,14 +33,14 @@
         gateway = await self.start_ready()
         row = ConfigurationRow(version=2, limits=limits)
         put_configuration(self.store, row)
-        await until_true(lambda: gateway.parts.web.admission.version == 2)
+        await until_true(lambda: gateway.components.web.admission.version == 2)
         return gateway
 
     async def send(
         self, gateway: RunningGateway, text: str
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Open a connection and send some bytes."""
-        host, _, port = gateway.parts.settings.listen.rpartition(':')
+        host, _, port = gateway.components.settings.listen.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         self.addCleanup(writer.close)
         writer.write(text.encode())
@@ -111,11 +111,11 @@
         self.list_server(slots=8)
         gateway = await self.start()
         put_gateway(self.store, 'g2')
-        parts = gateway.parts
+        components = gateway.components
         await until_true(
-            lambda: parts.is_ready and parts.web.admission.is_proved
+            lambda: components.is_ready and components.web.admission.is_proved
         )
-        await until_true(lambda: parts.peers.count == 2)
+        await until_true(lambda: components.peers.count == 2)
         asked = [
             asyncio.create_task(self.ask(gateway, request_id=f'r{number}'))
             for number in range(6)
--- a/seampond/gateway/tests/test_passing_on.py
+++ b/seampond/gateway/tests/test_passing_on.py
@@ -23,7 +23,7 @@
         names = [f'peer-{number}' for number in range(_OTHERS)]
         for name in names:
             put_gateway(self.store, name)
-        peers = gateway.parts.peers
+        peers = gateway.components.peers
         await until_true(lambda: peers.count == _OTHERS + 1)
         for name in names:
             self.assertTrue(peers.take_heartbeat(Heartbeat(name, 1, 1)))
@@ -33,10 +33,10 @@
     async def test_a_server_is_known_without_a_call(self) -> None:
         """Its row comes with another gateway's heartbeat."""
         gateway = await self.start_late()
-        parts = gateway.parts
-        watch = parts.watches[SERVERS_TABLE]
+        components = gateway.components
+        watch = components.watches[SERVERS_TABLE]
         await until_true(lambda: not watch.is_new)
-        since = parts.currencies[SERVERS_TABLE].version
+        since = components.currencies[SERVERS_TABLE].version
         content = {
             'service': POOL,
             'address': self.server.address,
@@ -46,22 +46,22 @@
         }
         row = Row('i-9', json.dumps(content).encode(), since + 1)
         page = ToldPage(key_of(SERVERS_TABLE), since, since + 1, 1, (row,))
-        parts.take_heartbeat(Heartbeat('peer-1', 1, 2, pages=(page,)))
-        known = parts.backends.get('i-9')
+        components.take_heartbeat(Heartbeat('peer-1', 1, 2, pages=(page,)))
+        known = components.backends.get('i-9')
         assert known is not None
         self.assertTrue(known.takes_work)
 
     async def test_what_was_read_is_told_once(self) -> None:
         """Rows go with the next heartbeat to all, at once, and no later one."""
         gateway = await self.start_ready()
-        parts = gateway.parts
-        parts.note_told()
-        parts.is_urgent.clear()
+        components = gateway.components
+        components.note_told()
+        components.is_urgent.clear()
         for size, told in ((100, 1), (_LARGE_BYTES, 0)):
             row = Row('i-9', b'x' * size, 8)
             page = Page((row,), 9, 1, 0, 0, is_whole=False)
-            parts.pass_on(SERVERS_TABLE, 7, page)
-            self.assertTrue(parts.is_urgent.is_set())
-            self.assertEqual(len(parts.make_heartbeat(1).pages), told)
-            parts.note_told()
-            self.assertEqual(parts.make_heartbeat(2).pages, ())
+            components.pass_on(SERVERS_TABLE, 7, page)
+            self.assertTrue(components.is_urgent.is_set())
+            self.assertEqual(len(components.make_heartbeat(1).pages), told)
+            components.note_told()
+            self.assertEqual(components.make_heartbeat(2).pages, ())
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -38,8 +38,12 @@
 
 def _is_heard(gateway: RunningGateway) -> bool:
     """Tell whether a gateway is ready and hears the other one."""
-    parts = gateway.parts
-    return parts.is_ready and parts.peers.all_heard and parts.peers.count > 1
+    components = gateway.components
+    return (
+        components.is_ready
+        and components.peers.all_heard
+        and components.peers.count > 1
+    )
 
 
 class RolloutTest(GatewayCase):
@@ -71,7 +75,7 @@
         return [
             one
             for gateway in self.gateways
-            for one in gateway.parts.rollouts.rollouts.running
+            for one in gateway.components.rollouts.rollouts.running
         ]
 
     async def start_fleet(self) -> None:
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -19,7 +19,7 @@
 from seampond.clock import Clock, ManualClock
 from seampond.errors import PlatformError
 from seampond.forwarding.scheduler import Scheduler
-from seampond.gateway.beliefs import ServerFollower
+from seampond.gateway.followers import ServerFollower
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform import read_configuration, read_server
 from seampond.platform.names import GATEWAYS_TABLE, SERVERS_TABLE
@@ -167,7 +167,7 @@
 
     def test_bad_row_is_told_once(self) -> None:
         """However often it is written."""
-        with self.assertLogs('seampond.gateway.beliefs', 'ERROR') as logs:
+        with self.assertLogs('seampond.gateway.followers', 'ERROR') as logs:
             for _ in range(5):
                 self._take(b'{')
         self.assertEqual(len(logs.records), 1)
@@ -230,7 +230,7 @@
     async def test_list_is_followed_after_a_bad_row(self) -> None:
         """A server that is listed after each of the two worst is known."""
         gateway = await self.start_ready()
-        known = gateway.parts.backends
+        known = gateway.components.backends
         for number, content in enumerate((_RAW[7], _RAW[13]), start=2):
             self.store.put(SERVERS_TABLE, f'b-{number}', content)
             self.store.put(GATEWAYS_TABLE, f'g-{number}', content)
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -125,7 +125,7 @@
     async def test_no_send_by_a_proof_that_is_over(self) -> None:
         """With the store away, so that nothing proves it anew."""
         gateway = await self.start_ready()
-        proof_ms = gateway.parts.web.admission.proof_ms
+        proof_ms = gateway.components.web.admission.proof_ms
         assert proof_ms is not None
         for seconds in _JUMPS_S:
             sent = len(self.server.received)
@@ -174,7 +174,7 @@
             await asyncio.sleep(0.1)
             self.sleeper.suspend(seconds)
             await asyncio.wait_for(stop, 1 + seconds)
-            self.assertEqual(gateway.parts.web.open_requests, 0)
+            self.assertEqual(gateway.components.web.open_requests, 0)
 
     async def test_while_a_stream_runs(self) -> None:
         """What has come by then ends whole, or it is cut as overdue."""
@@ -212,15 +212,15 @@
             await self._until_state('running', target)
             self.sleeper.suspend(seconds)
             await self._until_state('rolled_back', target)
-            self.assertEqual(gateway.parts.promises.broken, 0)
+            self.assertEqual(gateway.components.promises.broken, 0)
 
     async def test_a_rest_ends_when_it_should(self) -> None:
         """The time for which the machine was away counts."""
         gateway = await self.start_ready()
-        backend = pick(gateway.parts.backends, 'i-1')
-        clock = gateway.parts.clock
+        backend = pick(gateway.components.backends, 'i-1')
+        clock = gateway.components.clock
         for seconds in _JUMPS_S:
-            gateway.parts.backends.note_words(
+            gateway.components.backends.note_words(
                 backend, Words(rest_ms=seconds * MS_PER_SECOND), clock.now()
             )
             self.assertFalse(backend.may_send(clock.now()))
@@ -242,9 +242,9 @@
     ) -> None:
         name = f'i-{number}'
         self.list_server(name)
-        await until_true(lambda: gateway.parts.backends.get(name), 3)
+        await until_true(lambda: gateway.components.backends.get(name), 3)
         put_configuration(self.store, ConfigurationRow(version=number))
-        admission = gateway.parts.web.admission
+        admission = gateway.components.web.admission
         await until_true(lambda: admission.version == number, 3)
 
     async def _until_state(self, state: str, target: str) -> None:
@@ -257,7 +257,7 @@
 
     async def _read_plainly(self, gateway: RunningGateway) -> bytes:
         """Send a request as a caller that has no time-outs of its own."""
-        host, _, port = gateway.parts.settings.listen.rpartition(':')
+        host, _, port = gateway.components.settings.listen.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         lines = (
             'GET /x/y HTTP/1.1',
@@ -273,8 +273,10 @@
         return answer
 
     async def _until_proved(self, gateway: RunningGateway) -> None:
-        admission = gateway.parts.web.admission
-        await until_true(lambda: gateway.parts.is_ready and admission.is_proved)
+        admission = gateway.components.web.admission
+        await until_true(
+            lambda: gateway.components.is_ready and admission.is_proved
+        )
 
     def _setupAsyncioRunner(self) -> None:
         self._asyncioRunner = asyncio.Runner(loop_factory=SteadyLoop)
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -8,7 +8,7 @@
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.job import Job
 from seampond.forwarding.progress import Outcome, Try
-from seampond.gateway.stalls import Stalls
+from seampond.gateway.stalls import EventLoopStalls
 from seampond.rollouts import Rollouts
 from seampond.rollouts.slowness import LEAST_SLOWER_MS, Pace
 from seampond.sharing import key_of
@@ -29,7 +29,7 @@
 
     rollouts: Rollouts
     clock: Clock
-    stalls: Stalls = field(default_factory=Stalls)
+    stalls: EventLoopStalls = field(default_factory=EventLoopStalls)
     rng: random.Random = field(default_factory=random.Random)
 
     def group(
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway, wired together."""
+"""Construction of a gateway's components."""
 
 import asyncio
 import functools
@@ -14,15 +14,15 @@
 from seampond.forwarding.forwarder import Forwarder, ForwarderParts
 from seampond.forwarding.retries import RetryBudget
 from seampond.forwarding.scheduler import Scheduler
-from seampond.gateway.beliefs import ConfigurationFollower, ServerFollower
 from seampond.gateway.bounds import (
-    give_grace_ms,
+    compute_grace_ms,
     make_exposure_limits,
-    make_margin,
+    make_quota_margin,
 )
-from seampond.gateway.parts import GatewayParts
+from seampond.gateway.components import GatewayComponents
+from seampond.gateway.followers import ConfigurationFollower, ServerFollower
 from seampond.gateway.rollouts import RolloutFollower
-from seampond.gateway.stalls import Stalls
+from seampond.gateway.stalls import EventLoopStalls
 from seampond.gateway.versions import RolloutVersions
 from seampond.metrics.gateway import GatewayMetrics
 from seampond.permits.desk import Desk
@@ -45,7 +45,7 @@
 _INCARNATION_BITS = 48
 
 
-def bound_connections(belief: Belief, peers: Peers, pool: str) -> int:
+def connection_limit(belief: Belief, peers: Peers, pool: str) -> int:
     """Give how many connections one gateway may have to each server.
 
     Explanation
@@ -115,7 +115,9 @@
     return currency.missing_ms / MS_PER_SECOND
 
 
-def make_gateway(settings: GatewaySettings, clock: Clock) -> GatewayParts:
+def make_components(
+    settings: GatewaySettings, clock: Clock
+) -> GatewayComponents:
     """Wire the state of a gateway together."""
     metrics = GatewayMetrics()
     promises = Promises(lambda rule: metrics.violations.labels(rule).inc())
@@ -125,7 +127,7 @@
     is_urgent = asyncio.Event()
     quotas = Quotas(
         peers,
-        make_margin(bounds),
+        make_quota_margin(bounds),
         clock,
         is_urgent.set,
         random.Random(),
@@ -133,14 +135,14 @@
     backends = Backends(
         clock,
         HEADERS.request_id,
-        give_grace_ms(bounds),
-        lambda pool: bound_connections(belief, peers, pool),
+        compute_grace_ms(bounds),
+        lambda pool: connection_limit(belief, peers, pool),
         key_of,
         lambda word: metrics.words.labels(word).inc(),
     )
     store_time = StoreTime()
     rollouts = make_rollouts(bounds, belief, backends, peers, store_time)
-    stalls = Stalls()
+    stalls = EventLoopStalls()
     versions = RolloutVersions(rollouts, clock, stalls)
     desk = Desk(
         peers,
@@ -219,7 +221,7 @@
         promises,
         lambda: peers.has_ready,
     )
-    return GatewayParts(
+    return GatewayComponents(
         settings=settings,
         clock=clock,
         metrics=metrics,
