--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -126,7 +126,7 @@
     Mechanism(
         'fallback to lapsed servers',
         'forwarding/backends.py',
-        'if not backend.server.is_leaving:',
+        'if not backend.server.is_draining:',
         'if backend is None:',
     ),
 )
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -18,7 +18,7 @@
     expect_first_ms,
     note_kept,
 )
-from seampond.forwarding.words import read_words
+from seampond.forwarding.server_signals import parse_signals
 from seampond.promises import Promises, Rule
 from seampond.quarantine import show
 from seampond.quarantine.quarantine import Quarantine
@@ -80,7 +80,7 @@
         finally:
             self._note_end(now_ms)
         # However it ended, the server had no new wish for rest.
-        backend.notice.note_answered(self.sent_ms)
+        backend.signals.record_answer(self.sent_ms)
         self.tried.outcome = outcome.value
         return outcome
 
@@ -125,7 +125,7 @@
     def _is_permitted(self, now_ms: int) -> bool:
         """Whether the server has no limit, or we hold a permit."""
         permit = self.progress.job.permit
-        if not self.backend.notice.limit.is_named:
+        if not self.backend.signals.limit.is_named:
             return True
         return permit is not None and permit.may_send(now_ms)
 
@@ -150,7 +150,7 @@
             (Rule.no_work_when_leaving, self.backend.may_serve(now_ms)),
             (
                 Rule.no_work_in_rest,
-                not self.backend.notice.wants_rest(now_ms),
+                not self.backend.signals.is_backing_off(now_ms),
             ),
             (Rule.no_work_above_limit, self._is_permitted(now_ms)),
             (
@@ -171,8 +171,8 @@
         self._note_load(head)
         # The row that says the same may come late: by 12.7 s in an outage of
         # the store, in which the server got eleven more requests.
-        words = read_words(head, self.names)
-        self.backends.note_words(self.backend, words, self.sent_ms)
+        reported = parse_signals(head, self.names)
+        self.backends.apply_signals(self.backend, reported, self.sent_ms)
         if self._is_rejection(head):
             job.maybe_run = had_run
             await connection.read_whole(_WHOLE_MAX_BYTES)
@@ -230,7 +230,7 @@
         backend.unanswered.pop(job.request_id, None)
         self.tried.first_ms = self.clock.now() - self.sent_ms
         backend.note_success()
-        backend.notice.note_answered(self.sent_ms)
+        backend.signals.record_answer(self.sent_ms)
         if job.is_stream:
             note_kept(backend, job)
             pool = self.backends.speed_of(job.pool)
--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from seampond.forwarding.exchange import Connection
-from seampond.forwarding.notices import Notice
 from seampond.forwarding.server import Server
+from seampond.forwarding.signal_state import SignalState
 from seampond.forwarding.speeds import Speed
 
 _FIRST_PAUSE_MS = 250
@@ -49,7 +49,7 @@
 
     Parameters
     ----------
-    notice : Notice
+    signals : SignalState
         What it has said of itself in its answers.
     fallback_until_ms : int
         Until when it is a fallback, its row having gone without a word
@@ -74,7 +74,7 @@
     """
 
     server: Server
-    notice: Notice = field(default_factory=Notice)
+    signals: SignalState = field(default_factory=SignalState)
     in_flight: int = 0
     others: OthersLoad | None = None
     speed: Speed = field(default_factory=Speed)
@@ -103,38 +103,42 @@
     def takes_work(self) -> bool:
         """Whether the list and its own words let us send to it."""
         is_named = self.is_listed and self.is_readable
-        return is_named and not self.leaves
+        return is_named and not self.is_draining
 
     @property
-    def leaves(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether its row or an answer of it has said that it leaves."""
-        return self.server.is_leaving or self.notice.leaves
+        return self.server.is_draining or self.signals.is_draining
 
     def may_serve(self, now_ms: int) -> bool:
         """Whether it serves, if only as a fallback, and maybe after a rest."""
         if self.takes_work:
             return True
-        if self.server.is_leaving or not self.is_readable:
+        if self.server.is_draining or not self.is_readable:
             return False
-        if self.notice.leaves:
-            return self.is_listed and now_ms < self.notice.serves_until_ms
+        if self.signals.is_draining:
+            return self.is_listed and now_ms < self.signals.drain_until_ms
         return now_ms < self.fallback_until_ms
 
     def may_send(self, now_ms: int) -> bool:
         """Whether it may be sent to now, if only as a fallback."""
-        return self.may_serve(now_ms) and not self.notice.wants_rest(now_ms)
+        return self.may_serve(now_ms) and not self.signals.is_backing_off(
+            now_ms
+        )
 
     def is_closed(self, now_ms: int) -> bool:
         """Whether a limit or a rest keeps requests from it."""
-        return self.notice.limit.is_named or self.notice.wants_rest(now_ms)
+        return self.signals.limit.is_named or self.signals.is_backing_off(
+            now_ms
+        )
 
     def has_room_for_all(self, now_ms: int) -> bool:
         """Whether nothing but its load closes its places."""
-        return self.may_send(now_ms) and not self.notice.limit.is_named
+        return self.may_send(now_ms) and not self.signals.limit.is_named
 
     def is_usable(self, now_ms: int) -> bool:
         """Whether to send to it now."""
-        is_taken = self.notice.is_unproved and self.is_on_probe
+        is_taken = self.signals.needs_probe and self.is_on_probe
         is_paused = now_ms < self.paused_until_ms
         return self.may_send(now_ms) and not (is_taken or is_paused)
 
@@ -180,7 +184,7 @@
     def note_place(self) -> None:
         """Note that a request of ours is to be sent there."""
         self.in_flight += 1
-        self.is_on_probe = self.notice.is_unproved
+        self.is_on_probe = self.signals.needs_probe
 
     def note_release(self) -> None:
         """Note that a request of ours is there no more."""
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -10,10 +10,10 @@
 from seampond.forwarding.backend import Backend, OthersLoad
 from seampond.forwarding.exchange import Connection, open_connection
 from seampond.forwarding.limit import Limit
-from seampond.forwarding.notices import Notices
 from seampond.forwarding.server import Server
+from seampond.forwarding.server_signals import ServerSignals
+from seampond.forwarding.signal_state import SignalRegistry
 from seampond.forwarding.speeds import PoolSpeed
-from seampond.forwarding.words import Words
 
 _CONNECT_MS = 300
 _logger = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
     """Tell nobody of a limit."""
 
 
-class NoteLimit(Protocol):
+class LimitCallback(Protocol):
     """Told of what an answer says of a limit."""
 
     def __call__(self, key: int, limit: Limit, *, is_other: bool) -> None:
@@ -53,12 +53,12 @@
         Gives how many connections we may have to each server of a pool.
     key_of : Callable[[str], int]
         Gives the key by which other gateways tell of a server's life.
-    count_word : Callable[[str], None]
+    count_signal : Callable[[str], None]
         Counts an answer with a word of its server on itself.
 
     Attributes
     ----------
-    note_limit : NoteLimit
+    note_limit : LimitCallback
         Told of the limits of servers that have named one.
 
     """
@@ -70,16 +70,16 @@
         grace_ms: int = 0,
         bound_connections: Callable[[str], int] = _no_bound,
         key_of: Callable[[str], int] = hash,
-        count_word: Callable[[str], None] = _count_nothing,
+        count_signal: Callable[[str], None] = _count_nothing,
     ) -> None:
         """Start with none."""
         self.bound_connections = bound_connections
         self.grace_ms = grace_ms
-        self.note_limit: NoteLimit = _tell_nobody
+        self.note_limit: LimitCallback = _tell_nobody
         self._clock = clock
         self._id_header = id_header
         self._key_of = key_of
-        self._notices = Notices(count_word, clock)
+        self._signals = SignalRegistry(count_signal, clock)
         self._by_id: dict[str, Backend] = {}
         self._by_key: dict[int, Backend] = {}
         # What the others have, where they have anything.
@@ -179,7 +179,9 @@
         names = {server.id for server in listed}.union(unreadable)
         self.take(listed, [name for name in self._by_id if name not in names])
 
-    def note_words(self, backend: Backend, words: Words, sent_ms: int) -> None:
+    def apply_signals(
+        self, backend: Backend, reported: ServerSignals, sent_ms: int
+    ) -> None:
         """Take what a server says of itself in an answer.
 
         Parameters
@@ -188,15 +190,15 @@
             When the request was sent.
 
         """
-        limit = backend.notice.limit
+        limit = backend.signals.limit
         before = limit.rate
-        self._notices.take(
-            backend.server, backend.notice, words, self.grace_ms, sent_ms
+        self._signals.take(
+            backend.server, backend.signals, reported, self.grace_ms, sent_ms
         )
         if limit.said_ms == sent_ms:
             key = self._key_of(backend.server.life)
             self.note_limit(key, limit, is_other=limit.rate != before)
-        if words.leaves:
+        if reported.is_draining:
             backend.drop_idle()
 
     def take_limit(
@@ -213,9 +215,9 @@
         backend = self._by_key.get(key)
         if backend is None:
             return None
-        notice = backend.notice
-        self._notices.take_limit(backend.server, notice, rate, said_ms)
-        return notice.limit
+        signals = backend.signals
+        self._signals.take_limit(backend.server, signals, rate, said_ms)
+        return signals.limit
 
     async def connect(self, backend: Backend) -> Connection:
         """Give a connection to a server, a rested one if there is any.
@@ -242,19 +244,19 @@
         self, backend: Backend, connection: Connection, keep_ms: int | None
     ) -> None:
         """Keep a connection for the next request, or close it."""
-        rest_ms = keep_ms if backend.takes_work else None
-        if connection.finish(rest_ms):
+        backoff_ms = keep_ms if backend.takes_work else None
+        if connection.finish(backoff_ms):
             backend.idle.append(connection)
         else:
             backend.open_count -= 1
 
     def _add(self, server: Server) -> None:
         told = self._told.get(self._key_of(server.life))
-        notice = self._notices.of(server)
-        self._notices.take_row(server, notice)
+        signals = self._signals.of(server)
+        self._signals.take_row(server, signals)
         self._by_id[server.id] = Backend(
             server,
-            notice,
+            signals,
             others=told,
             cold_until_ms=self._clock.now() + server.cold_ms,
         )
@@ -267,11 +269,11 @@
             self._end_life(backend)
             self._add(server)
         elif told_ms >= known_ms:
-            if backend.server.is_leaving != server.is_leaving:
+            if backend.server.is_draining != server.is_draining:
                 self._tell('server leaves', server)
             backend.server = replace(server, born_ms=told_ms)
-            backend.notice.born_ms = told_ms
-            self._notices.take_row(server, backend.notice)
+            backend.signals.born_ms = told_ms
+            self._signals.take_row(server, backend.signals)
             backend.is_listed = True
             backend.is_readable = True
         # Else a row of an earlier life has come late.
@@ -295,7 +297,7 @@
         if backend is None or not backend.is_listed:
             return
         backend.is_listed = False
-        if not backend.leaves:
+        if not backend.is_draining:
             backend.fallback_until_ms = self._clock.now() + self.grace_ms
         backend.drop_idle()
         self._tell('server gone', backend.server)
--- a/seampond/forwarding/openings.py
+++ b/seampond/forwarding/openings.py
@@ -37,7 +37,7 @@
 
     def is_open(self, backend: Backend, *, for_return: bool) -> bool:
         """Whether a server takes a request that has a place there now."""
-        if not backend.notice.limit.is_named:
+        if not backend.signals.limit.is_named:
             return True
         if self.permits.may_send(backend, for_return=for_return):
             return True
@@ -46,14 +46,14 @@
 
     def take(self, backend: Backend, job: Job) -> Permit | None:
         """Take up a permit, where a server names a limit."""
-        if backend.notice.limit.is_named:
+        if backend.signals.limit.is_named:
             return self.permits.take(backend, for_return=job.is_repeat)
         return None
 
     def opens_ms(self, backend: Backend, *, for_return: bool = False) -> int:
         """Give when a server opens that rests or names a limit."""
-        opens_ms = backend.notice.rest_until_ms
-        if backend.notice.limit.is_named:
+        opens_ms = backend.signals.backoff_until_ms
+        if backend.signals.limit.is_named:
             permit_ms = self.permits.opens_ms(backend, for_return=for_return)
             opens_ms = max(opens_ms, permit_ms)
         return opens_ms
@@ -70,7 +70,7 @@
         now_ms = self._clock.now()
         closed = []
         for backend in known:
-            if backend.leaves or not backend.may_serve(now_ms):
+            if backend.is_draining or not backend.may_serve(now_ms):
                 continue
             if backend.has_room_for_all(now_ms):
                 return None
@@ -81,7 +81,7 @@
 
     def sum_rates(self, known: Iterable[Backend]) -> float:
         """Give what servers take together by their limits, 0 without any."""
-        return sum(backend.notice.limit.rate or 0 for backend in known)
+        return sum(backend.signals.limit.rate or 0 for backend in known)
 
     async def reserve(self, known: Iterable[Backend]) -> int | None:
         """Have a permit kept for a caller that is turned away.
@@ -103,12 +103,12 @@
         limited = [
             one
             for one in known
-            if one.notice.limit.rate
+            if one.signals.limit.rate
             and one.may_serve(now_ms)
-            and not one.leaves
+            and not one.is_draining
         ]
         free = [
-            one for one in limited if one.notice.limit.full_until_ms <= now_ms
+            one for one in limited if one.signals.limit.full_until_ms <= now_ms
         ]
         if limited and not free:
             return LATEST_MS
@@ -129,7 +129,7 @@
 
         """
         now_ms = self._clock.now()
-        limited = [one for one in known if one.notice.limit.is_named]
+        limited = [one for one in known if one.signals.limit.is_named]
         if not limited:
             return
         for waiter in _without(queue.waiters, _count_coming(limited, now_ms)):
@@ -146,7 +146,9 @@
         """Give those that wait for what cannot come in time."""
         now_ms = self._clock.now()
         serving = [
-            one for one in known if one.may_serve(now_ms) and not one.leaves
+            one
+            for one in known
+            if one.may_serve(now_ms) and not one.is_draining
         ]
         if not serving or any(one.has_room_for_all(now_ms) for one in serving):
             return []
@@ -167,7 +169,7 @@
     def next_ms(self, known: Iterable[Backend]) -> int | None:
         """Give when to look again for a permit, None where none may come."""
         now_ms = self._clock.now()
-        times = (one.notice.limit.next_ms(now_ms) for one in known)
+        times = (one.signals.limit.next_ms(now_ms) for one in known)
         return min((one for one in times if one is not None), default=None)
 
     def _choose(
@@ -176,7 +178,7 @@
         """Give the server that opens first of those that do in time."""
         best: tuple[int, float, Backend] | None = None
         for backend in limited:
-            limit = backend.notice.limit
+            limit = backend.signals.limit
             if limit.asked_ms is not None:
                 continue
             if backend.server.id in waiter.avoid:
@@ -196,7 +198,7 @@
 
 
 def _count_coming(limited: Iterable[Backend], now_ms: int) -> int:
-    return sum(one.notice.limit.count_coming(now_ms) for one in limited)
+    return sum(one.signals.limit.count_coming(now_ms) for one in limited)
 
 
 def _without(waiters: Sequence[Waiter], first: int) -> list[Waiter]:
--- a/seampond/forwarding/rating.py
+++ b/seampond/forwarding/rating.py
@@ -33,7 +33,7 @@
     if load and first_ms > latest_ms and not job.has_begun:
         return None
     end_ms = now_ms + first_ms + expect_made_ms(backend, job, pool)
-    if backend.notice.leaves and end_ms > backend.notice.serves_until_ms:
+    if backend.signals.is_draining and end_ms > backend.signals.drain_until_ms:
         return None
     cost_ms = rate_backend(backend, job, pool, zone, now_ms, first_ms)
     return (
@@ -77,8 +77,8 @@
     Whether a limit holds on is told by answers alone, also where other servers
     are faster.
     """
-    if not backend.notice.is_unproved:
-        limit = backend.notice.limit
+    if not backend.signals.needs_probe:
+        limit = backend.signals.limit
         return 0 if limit.is_named and limit.is_stale(now_ms) else 1
     may_go_on = not job.attempts and job.route.attempts > 1
     return 0 if may_go_on and not job.strikes else 2
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -290,7 +290,7 @@
             known = self._rng.sample(known, _LOOKED_AT)
         if not any(backend.takes_work for backend in known):
             return known
-        return [backend for backend in known if not backend.notice.leaves]
+        return [backend for backend in known if not backend.signals.is_draining]
 
     def _list_open(self, pool: str) -> list[Backend]:
         """Give the servers that have a place for some request.
@@ -376,7 +376,7 @@
         job = waiter.job
         self._shed(queue, lambda known: known.job.priority > job.priority)
         known = self._backends.of_pool(job.pool)
-        is_limited = any(one.notice.limit.is_named for one in known)
+        is_limited = any(one.signals.limit.is_named for one in known)
         cause = Cause.limited if is_limited else Cause.resting
         waiter.place.set_exception(Refusal(cause, step=_STEP))
 
--- a/seampond/forwarding/server.py
+++ b/seampond/forwarding/server.py
@@ -23,7 +23,7 @@
     address: str
     zone: str
     slots: int
-    is_leaving: bool = False
+    is_draining: bool = False
     version: str = ''
     cold_ms: int = 0
     born_ms: int = 0
--- a/seampond/forwarding/words.py
+++ b/seampond/forwarding/server_signals.py
@@ -15,20 +15,20 @@
 _YES = b'1'
 _DECIMAL = re.compile(r'\d+\.?\d*|\.\d+', re.ASCII)
 # A longer time is a slip of its writer: it would shut a server out for good.
-REST_MAX_MS = 300_000
+BACKOFF_MAX_MS = 300_000
 # No server takes more: a number of some hundred digits is infinite.
-LIMIT_MAX = 1_000_000.0
+LIMIT_MAX_PER_SECOND = 1_000_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
+class ServerSignals:
     """What one answer says of its server.
 
     Parameters
     ----------
-    leaves : bool
+    is_draining : bool
         Whether the server leaves.
-    rest_ms : int
+    backoff_ms : int
         For how long it wants nothing from us, 0 for no such wish.
     limit : float or None
         The requests a second that it takes from all gateways together.
@@ -37,13 +37,13 @@
 
     """
 
-    leaves: bool = False
-    rest_ms: int = 0
+    is_draining: bool = False
+    backoff_ms: int = 0
     limit: float | None = None
     is_own: bool = True
 
 
-def read_words(head: Head, names: HeaderNames) -> Words:
+def parse_signals(head: Head, names: HeaderNames) -> ServerSignals:
     """Read what an answer says of its server.
 
     Explanation
@@ -54,19 +54,19 @@
     Examples
     --------
     >>> from seampond.testing.gateways import NAMES
-    >>> read_words(Head(503, [(b'retry-after', b'2.5')]), NAMES).rest_ms
+    >>> parse_signals(Head(503, [(b'retry-after', b'2.5')]), NAMES).backoff_ms
     2500
 
     """
     if head.status == HTTPStatus.MISDIRECTED_REQUEST:
-        return Words(is_own=False)
-    leaves = any(
+        return ServerSignals(is_own=False)
+    is_draining = any(
         name == names.leaving and text.strip() == _YES
         for name, text in head.headers
     )
-    rest_ms = 0
+    backoff_ms = 0
     if head.status == HTTPStatus.SERVICE_UNAVAILABLE:
-        rest_ms = max(
+        backoff_ms = max(
             (
                 parse_retry_after_ms(text.decode('latin-1'), time.time())
                 for name, text in head.headers
@@ -74,7 +74,9 @@
             ),
             default=0,
         )
-    return Words(leaves, rest_ms, _read_limit(head, names.limit))
+    return ServerSignals(
+        is_draining, backoff_ms, _read_limit(head, names.limit)
+    )
 
 
 def parse_retry_after_ms(text: str, now_s: float) -> int:
@@ -103,7 +105,7 @@
     else:
         seconds = _seconds_until(stripped, now_s)
     # Bounded first: a number of some hundred digits is infinite.
-    most_s = REST_MAX_MS / MS_PER_SECOND
+    most_s = BACKOFF_MAX_MS / MS_PER_SECOND
     return round(min(max(seconds, 0), most_s) * MS_PER_SECOND)
 
 
@@ -130,7 +132,7 @@
     # Several headers of one name may have been joined on their way.
     parts = [part.strip() for part in text.split(',')]
     named = [float(part) for part in parts if _DECIMAL.fullmatch(part)]
-    return min([*named, LIMIT_MAX]) if named else None
+    return min([*named, LIMIT_MAX_PER_SECOND]) if named else None
 
 
 def _seconds_until(date: str, now_s: float) -> float:
--- a/seampond/forwarding/notices.py
+++ b/seampond/forwarding/signal_state.py
@@ -11,7 +11,7 @@
 from seampond.clock import Clock
 from seampond.forwarding.limit import Limit
 from seampond.forwarding.server import Server
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 
 # Some 150 B each; a server that is forgotten is asked once more.
 _KEPT_MAX = 8192
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Notice:
+class SignalState:
     """What one life of a server has said.
 
     Explanation
@@ -32,11 +32,11 @@
     ----------
     born_ms : int
         When that life began, 0 as long as no row has told.
-    serves_until_ms : int
+    drain_until_ms : int
         Until when a server that leaves may still be sent to.
-    rest_until_ms : int
+    backoff_until_ms : int
         Until when it wants nothing from us.
-    is_unproved : bool
+    needs_probe : bool
         Whether no request has ended there since it wanted rest.
     limit : Limit
         What it takes from all gateways together.
@@ -44,23 +44,23 @@
     """
 
     born_ms: int = 0
-    leaves: bool = False
-    serves_until_ms: int = 0
-    rest_until_ms: int = 0
-    is_unproved: bool = False
+    is_draining: bool = False
+    drain_until_ms: int = 0
+    backoff_until_ms: int = 0
+    needs_probe: bool = False
     limit: Limit = field(default_factory=Limit)
 
-    def wants_rest(self, now_ms: int) -> bool:
+    def is_backing_off(self, now_ms: int) -> bool:
         """Whether it has asked to be left alone now."""
-        return now_ms < self.rest_until_ms
+        return now_ms < self.backoff_until_ms
 
-    def note_answered(self, sent_ms: int) -> None:
+    def record_answer(self, sent_ms: int) -> None:
         """Note that a request that was sent at a time met with no new wish."""
-        if sent_ms >= self.rest_until_ms:
-            self.is_unproved = False
+        if sent_ms >= self.backoff_until_ms:
+            self.needs_probe = False
 
 
-class Notices:
+class SignalRegistry:
     """The notices of all servers that have said anything.
 
     Explanation
@@ -79,17 +79,17 @@
         """Start with nothing said."""
         self._count = count
         self._clock = clock
-        self._by_id: dict[str, Notice] = {}
+        self._by_id: dict[str, SignalState] = {}
 
-    def of(self, server: Server) -> Notice:
+    def of(self, server: Server) -> SignalState:
         """Give the notice of the life that a row names."""
         kept = self._by_id.get(server.id)
         if kept is None or 0 < kept.born_ms < server.born_ms:
-            return Notice(server.born_ms)
+            return SignalState(server.born_ms)
         kept.born_ms = kept.born_ms or server.born_ms
         return kept
 
-    def take_row(self, server: Server, notice: Notice) -> None:
+    def take_row(self, server: Server, signals: SignalState) -> None:
         """Take what a row says of the life that it names.
 
         Explanation
@@ -98,16 +98,16 @@
         the same life is an older one: the store may have been restored from a
         copy in which it had not left yet.
         """
-        if server.is_leaving:
-            notice.leaves = True
-            notice.serves_until_ms = 0
-            self._keep(server.id, notice)
+        if server.is_draining:
+            signals.is_draining = True
+            signals.drain_until_ms = 0
+            self._keep(server.id, signals)
 
     def take(
         self,
         server: Server,
-        notice: Notice,
-        words: Words,
+        signals: SignalState,
+        reported: ServerSignals,
         grace_ms: int,
         sent_ms: int,
     ) -> None:
@@ -115,7 +115,7 @@
 
         Parameters
         ----------
-        notice : Notice
+        signals : SignalState
             Of the life that has answered.
         grace_ms : int
             How long after its word of a leave a server may be sent to.
@@ -124,48 +124,48 @@
 
         """
         now_ms = self._clock.now()
-        if words.leaves:
+        if reported.is_draining:
             self._count('leaves')
-            if not notice.leaves:
-                notice.leaves = True
-                notice.serves_until_ms = now_ms + grace_ms
+            if not signals.is_draining:
+                signals.is_draining = True
+                signals.drain_until_ms = now_ms + grace_ms
                 _tell('server says that it leaves', server)
-        if words.rest_ms:
+        if reported.backoff_ms:
             self._count('rest')
-            if not notice.wants_rest(now_ms):
-                _tell('server wants rest', server, rest_ms=words.rest_ms)
+            if not signals.is_backing_off(now_ms):
+                _tell('server wants rest', server, rest_ms=reported.backoff_ms)
             # A shorter wish does not end a longer one.
-            until_ms = now_ms + words.rest_ms
-            notice.is_unproved = True
-            notice.rest_until_ms = max(notice.rest_until_ms, until_ms)
-        if words.limit is not None:
+            until_ms = now_ms + reported.backoff_ms
+            signals.needs_probe = True
+            signals.backoff_until_ms = max(signals.backoff_until_ms, until_ms)
+        if reported.limit is not None:
             self._count('limit')
-        if words.is_own:
-            self.take_limit(server, notice, words.limit, sent_ms)
-        if words.leaves or words.rest_ms:
-            self._keep(server.id, notice)
+        if reported.is_own:
+            self.take_limit(server, signals, reported.limit, sent_ms)
+        if reported.is_draining or reported.backoff_ms:
+            self._keep(server.id, signals)
 
     def take_limit(
         self,
         server: Server,
-        notice: Notice,
+        signals: SignalState,
         rate: float | None,
         said_ms: int,
     ) -> bool:
         """Take a word on a limit, by whomever; tell whether it changes it."""
-        before = notice.limit.rate
-        if not notice.limit.take_word(rate, said_ms):
+        before = signals.limit.rate
+        if not signals.limit.take_word(rate, said_ms):
             return False
         _tell('server names a limit', server, limit=rate, before=before)
-        self._keep(server.id, notice)
+        self._keep(server.id, signals)
         return True
 
-    def _keep(self, server_id: str, notice: Notice) -> None:
+    def _keep(self, server_id: str, signals: SignalState) -> None:
         kept = self._by_id.get(server_id)
-        if kept is not None and kept.born_ms > notice.born_ms:
+        if kept is not None and kept.born_ms > signals.born_ms:
             # An answer of an earlier life.
             return
-        self._by_id[server_id] = notice
+        self._by_id[server_id] = signals
         if len(self._by_id) > _KEPT_MAX:
             self._by_id.pop(next(iter(self._by_id)))
 
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -19,7 +19,7 @@
 from seampond.forwarding.progress import Outcome, Progress
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.retries import RetryBudget
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import (
     ID_HEADER,
@@ -227,15 +227,15 @@
         server = build_server('i-1')
         await self._check_not_sent(
             lambda backends: backends.take(
-                [replace(server, is_leaving=True)], []
+                [replace(server, is_draining=True)], []
             )
         )
 
     async def test_server_that_wants_rest_meanwhile_gets_nothing(self) -> None:
         """Another request may have been told so while we connect."""
         await self._check_not_sent(
-            lambda backends: backends.note_words(
-                pick(backends, 'i-1'), Words(rest_ms=3000), 0
+            lambda backends: backends.apply_signals(
+                pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
             )
         )
 
--- a/seampond/forwarding/tests/test_openings.py
+++ b/seampond/forwarding/tests/test_openings.py
@@ -10,7 +10,7 @@
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.returning import LATEST_MS
 from seampond.forwarding.scheduler import Scheduler
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import (
     NAMES,
@@ -50,7 +50,7 @@
     ) -> None:
         """Note who is asked, and wait for the answer."""
         self.asked.append(backend.server.id)
-        backend.notice.limit.asked_ms = Clock().now()
+        backend.signals.limit.asked_ms = Clock().now()
 
     def opens_ms(self, backend: Backend, *, for_return: bool) -> int:
         """Give what the test says."""
@@ -79,11 +79,11 @@
         self.giver = _Giver()
         self.scheduler.openings.permits = self.giver
         for backend in self.backends:
-            self.say(backend, Words(limit=2))
+            self.say(backend, ServerSignals(limit=2))
 
-    def say(self, backend: Backend, words: Words) -> None:
+    def say(self, backend: Backend, words: ServerSignals) -> None:
         """Let a server say something of itself."""
-        self.backends.note_words(backend, words, self.clock.now())
+        self.backends.apply_signals(backend, words, self.clock.now())
 
     def place(self, request_id: str, **changes: int) -> 'asyncio.Task[Backend]':
         """Let a request wait for a place."""
@@ -93,7 +93,7 @@
     def answer(self, given: int) -> None:
         """Let the owner answer all that were asked."""
         for backend in self.backends:
-            backend.notice.limit.asked_ms = None
+            backend.signals.limit.asked_ms = None
         self.giver.given = given
         self.scheduler.look_again(POOL)
 
@@ -110,7 +110,7 @@
         self.assertFalse(self.scheduler.has_room(POOL))
         # Later than the word of the limit.
         await asyncio.sleep(_SOON_S)
-        self.say(pick(self.backends, 'i-1'), Words())
+        self.say(pick(self.backends, 'i-1'), ServerSignals())
         self.assertTrue(self.scheduler.has_room(POOL))
 
     async def test_each_that_waits_asks_once(self) -> None:
@@ -163,7 +163,7 @@
         """Guards against a message for each caller of a long overload."""
         self.giver.opens_at_ms = self.clock.now() + _LATER_MS
         for backend in self.backends:
-            backend.notice.limit.full_until_ms = self.clock.now() + _LATER_MS
+            backend.signals.limit.full_until_ms = self.clock.now() + _LATER_MS
         refusal = await self.check_refused(self.place('r1'))
         self.assertEqual(refusal.retry_after_ms, LATEST_MS)
         self.assertEqual(self.giver.reserving, [])
@@ -174,7 +174,7 @@
         """Guards against a limit that is over and found out late."""
         await asyncio.sleep(_SOON_S)
         for backend in self.backends:
-            self.say(backend, Words(limit=0))
+            self.say(backend, ServerSignals(limit=0))
         self.giver.opens_at_ms = self.clock.now() + _LATER_MS
         await self.check_refused(self.place('r1'))
         self.assertEqual(self.giver.reserving, [])
@@ -194,7 +194,7 @@
     async def test_rest_goes_beside_a_limit(self) -> None:
         """Neither a permit nor the end of the rest is enough alone."""
         for backend in self.backends:
-            self.say(backend, Words(limit=2, rest_ms=_LATER_MS))
+            self.say(backend, ServerSignals(limit=2, backoff_ms=_LATER_MS))
         self.giver.given = 5
         await self.check_refused(self.place('r1'))
 
@@ -202,7 +202,7 @@
         """Where all others have gone, for a part of the time to drain."""
         self.backends.grace_ms = _LATER_MS
         for backend in self.backends:
-            self.say(backend, Words(limit=2, leaves=True))
+            self.say(backend, ServerSignals(limit=2, is_draining=True))
         job = build_job('r1')
         waiting = asyncio.create_task(self.scheduler.place(job, set()))
         await asyncio.sleep(_SOON_S / 2)
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -11,7 +11,7 @@
 from seampond.forwarding.models import Kind
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.scheduler import Scheduler
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import (
     NAMES,
@@ -154,7 +154,7 @@
 
     async def test_leaving_server_gets_nothing(self) -> None:
         """A server that drains is no place."""
-        scheduler, _ = build_scheduler(4, is_leaving=True)
+        scheduler, _ = build_scheduler(4, is_draining=True)
         with self.assertRaises(Refusal) as caught:
             await scheduler.place(
                 build_job(route=build_route(target_ms=50)), set()
@@ -352,7 +352,7 @@
         """A row that goes after `leaving` is gone for good."""
         clock = ManualClock(10_000)
         backends = Backends(clock, NAMES.request_id, grace_ms=1000)
-        backends.keep_only([build_server('i-0', is_leaving=True)])
+        backends.keep_only([build_server('i-0', is_draining=True)])
         backends.keep_only([])
         self.assertEqual(backends.of_pool('llm'), [])
 
@@ -391,16 +391,22 @@
     async def test_who_leaves_is_a_last_resort(self) -> None:
         """Nothing goes there while another server takes work, if full."""
         scheduler, backends = self.build(1, 1)
-        backends.note_words(pick(backends, 'i-0'), Words(leaves=True), 0)
+        backends.apply_signals(
+            pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
+        )
         self.assertEqual(await self.place(scheduler), 'i-1')
         self.assertEqual(await self.place(scheduler), Cause.waited.value)
-        backends.note_words(pick(backends, 'i-1'), Words(leaves=True), 0)
+        backends.apply_signals(
+            pick(backends, 'i-1'), ServerSignals(is_draining=True), 0
+        )
         self.assertEqual(await self.place(scheduler), 'i-0')
 
     async def test_nothing_goes_there_that_it_may_not_end(self) -> None:
         """A stream that takes longer than it has left."""
         scheduler, backends = self.build(4)
-        backends.note_words(pick(backends, 'i-0'), Words(leaves=True), 0)
+        backends.apply_signals(
+            pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
+        )
         short = Prompt(tokens=10, answer_tokens=10)
         long = Prompt(tokens=10, answer_tokens=900)
         self.assertEqual(
@@ -414,8 +420,12 @@
     async def test_all_at_rest_are_told_apart_at_once(self) -> None:
         """Who is turned away hears when the first has had its rest."""
         scheduler, backends = self.build(4, 4)
-        backends.note_words(pick(backends, 'i-0'), Words(rest_ms=5000), 0)
-        backends.note_words(pick(backends, 'i-1'), Words(rest_ms=3000), 0)
+        backends.apply_signals(
+            pick(backends, 'i-0'), ServerSignals(backoff_ms=5000), 0
+        )
+        backends.apply_signals(
+            pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
+        )
         job = build_job(arrived_ms=self.clock.now())
         with self.assertRaises(Refusal) as caught:
             await asyncio.wait_for(scheduler.place(job, set()), 1)
@@ -426,7 +436,9 @@
     async def test_a_short_rest_is_waited_for(self) -> None:
         """It ends before the patience does."""
         scheduler, backends = self.build(4)
-        backends.note_words(pick(backends, 'i-0'), Words(rest_ms=100), 0)
+        backends.apply_signals(
+            pick(backends, 'i-0'), ServerSignals(backoff_ms=100), 0
+        )
         self.assertEqual(await self.place(scheduler), 'i-0')
 
     async def test_room_counts_who_may_be_sent_to(self) -> None:
@@ -435,18 +447,20 @@
         backend = pick(backends, 'i-0')
         backend.in_flight = 2
         self.assertTrue(scheduler.has_room(POOL))
-        backends.note_words(pick(backends, 'i-1'), Words(rest_ms=3000), 0)
+        backends.apply_signals(
+            pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
+        )
         self.assertFalse(scheduler.has_room(POOL))
 
     async def test_one_finds_out_who_is_well_again(self) -> None:
         """Who may go on elsewhere, and first; the others go elsewhere."""
         scheduler, backends = self.build(4, 4)
         tired = pick(backends, 'i-1')
-        backends.note_words(tired, Words(rest_ms=100), 0)
+        backends.apply_signals(tired, ServerSignals(backoff_ms=100), 0)
         self.clock.advance(100)
         once = build_route(attempts=1)
         self.assertEqual(await self.place(scheduler, route=once), 'i-0')
         self.assertEqual(await self.place(scheduler), 'i-1')
         self.assertEqual(await self.place(scheduler), 'i-0')
-        tired.notice.note_answered(self.clock.now())
+        tired.signals.record_answer(self.clock.now())
         self.assertTrue(tired.is_usable(self.clock.now()))
--- a/seampond/forwarding/tests/test_words.py
+++ b/seampond/forwarding/tests/test_server_signals.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from seampond.forwarding.heads import Head
-from seampond.forwarding.words import (
-    LIMIT_MAX,
-    REST_MAX_MS,
-    Words,
+from seampond.forwarding.server_signals import (
+    BACKOFF_MAX_MS,
+    LIMIT_MAX_PER_SECOND,
+    ServerSignals,
     parse_limit,
     parse_retry_after_ms,
-    read_words,
+    parse_signals,
 )
 from seampond.testing.gateways import LEAVING_HEADER, LIMIT_HEADER, NAMES
 
@@ -40,7 +40,7 @@
     ('1_0', 0),
     ('٣', 0),
     ('2, 5', 5000),
-    ('9' * 400, REST_MAX_MS),
+    ('9' * 400, BACKOFF_MAX_MS),
     (_LATER, 5000),
     (_EARLIER, 0),
     ('Sun, 09 Sep 99999999999 01:46:45 GMT', 0),
@@ -55,7 +55,7 @@
     ('0.0', 0),
     ('4, 2', 2),
     ('nan, 2', 2),
-    ('9' * 400, LIMIT_MAX),
+    ('9' * 400, LIMIT_MAX_PER_SECOND),
     ('nan', None),
     ('-1', None),
     ('inf', None),
@@ -83,18 +83,18 @@
     def test_whatever_is_written(self, text: str) -> None:
         """It is a time inside the bounds, and nothing is raised."""
         read = parse_retry_after_ms(text, _NOW_S)
-        self.assertTrue(0 <= read <= REST_MAX_MS)
+        self.assertTrue(0 <= read <= BACKOFF_MAX_MS)
 
     def test_the_longest_of_several_counts(self) -> None:
         """Each of them was asked for."""
         head = Head(503, [(_RETRY_AFTER, b'1'), (_RETRY_AFTER, b'4')])
-        self.assertEqual(read_words(head, NAMES).rest_ms, 4000)
+        self.assertEqual(parse_signals(head, NAMES).backoff_ms, 4000)
 
     def test_other_answers_ask_for_nothing(self) -> None:
         """The same header has another meaning there."""
         for status in (200, 301, 429, 500):
             head = Head(status, [(_RETRY_AFTER, b'4')])
-            self.assertEqual(read_words(head, NAMES), Words())
+            self.assertEqual(parse_signals(head, NAMES), ServerSignals())
 
 
 class LeavingTest(unittest.TestCase):
@@ -104,23 +104,23 @@
         """Errors and redirects are answers of that server, too."""
         for status in (200, 204, 301, 404, 429, 500, 503):
             head = Head(status, [(_LEAVING, b' 1 ')])
-            self.assertTrue(read_words(head, NAMES).leaves)
+            self.assertTrue(parse_signals(head, NAMES).is_draining)
 
     def test_misdirected_requests_are_answered_by_another(self) -> None:
         """Its word is not that of the server that was asked."""
         head = Head(HTTPStatus.MISDIRECTED_REQUEST, [(_LEAVING, b'1')])
-        self.assertFalse(read_words(head, NAMES).leaves)
+        self.assertFalse(parse_signals(head, NAMES).is_draining)
 
     def test_one_of_several_is_enough(self) -> None:
         """Whichever comes first."""
         head = Head(200, [(_LEAVING, b'0'), (_LEAVING, b'1')])
-        self.assertTrue(read_words(head, NAMES).leaves)
+        self.assertTrue(parse_signals(head, NAMES).is_draining)
 
     def test_another_word_is_none(self) -> None:
         """Nothing else says that it leaves."""
         for text in (b'', b'0', b'no', b'11'):
             head = Head(200, [(_LEAVING, text)])
-            self.assertFalse(read_words(head, NAMES).leaves)
+            self.assertFalse(parse_signals(head, NAMES).is_draining)
 
 
 class LimitTest(unittest.TestCase):
@@ -137,7 +137,7 @@
     def test_whatever_is_written(self, text: str) -> None:
         """It is none, or a number inside the bounds."""
         read = parse_limit(text)
-        self.assertTrue(read is None or 0 <= read <= LIMIT_MAX)
+        self.assertTrue(read is None or 0 <= read <= LIMIT_MAX_PER_SECOND)
 
     def test_the_lowest_of_several_counts(self) -> None:
         """Each of them was named; one that cannot be read is none."""
@@ -147,12 +147,14 @@
             ((b'few',), None),
         ):
             head = Head(200, [(_LIMIT, text) for text in texts])
-            self.assertEqual(read_words(head, NAMES).limit, expected)
+            self.assertEqual(parse_signals(head, NAMES).limit, expected)
 
     def test_any_answer_of_that_server_counts(self) -> None:
         """A misdirected request is answered by another."""
         for status in (200, 301, 404, 429, 500, 503):
             head = Head(status, [(_LIMIT, b'2')])
-            self.assertEqual(read_words(head, NAMES).limit, 2)
+            self.assertEqual(parse_signals(head, NAMES).limit, 2)
         head = Head(HTTPStatus.MISDIRECTED_REQUEST, [(_LIMIT, b'2')])
-        self.assertEqual(read_words(head, NAMES), Words(is_own=False))
+        self.assertEqual(
+            parse_signals(head, NAMES), ServerSignals(is_own=False)
+        )
--- a/seampond/forwarding/tests/test_notices.py
+++ b/seampond/forwarding/tests/test_signal_state.py
@@ -9,10 +9,10 @@
 from unittest.mock import patch
 
 from seampond.clock import ManualClock
-from seampond.forwarding import notices
+from seampond.forwarding import signal_state
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.testing.gateways import (
     NAMES,
     build_backends,
@@ -20,8 +20,8 @@
     pick,
 )
 
-_LEAVES = Words(leaves=True)
-_RESTS = Words(rest_ms=3000)
+_LEAVES = ServerSignals(is_draining=True)
+_RESTS = ServerSignals(backoff_ms=3000)
 _NOW_MS = 1000
 _GRACE_MS = 1400
 
@@ -41,9 +41,9 @@
         """What is believed of the server now."""
         return pick(self.backends, 'i-1')
 
-    def say(self, words: Words) -> None:
+    def say(self, words: ServerSignals) -> None:
         """Let the server say something of itself."""
-        self.backends.note_words(self.backend, words, 0)
+        self.backends.apply_signals(self.backend, words, 0)
 
     def check_used(self, *, expected: bool) -> None:
         """Check whether the server is used."""
@@ -73,7 +73,7 @@
     def test_a_row_that_says_the_same_ends_it(self) -> None:
         """The store's word binds from then on."""
         self.say(_LEAVES)
-        self.backends.take([replace(self.row, is_leaving=True)], [])
+        self.backends.take([replace(self.row, is_draining=True)], [])
         self.check_used(expected=False)
 
     def test_a_row_that_was_gone_brings_no_leave_back(self) -> None:
@@ -103,7 +103,7 @@
         earlier = self.backend
         self.backends.take([replace(self.row, born_ms=200)], [])
         self.check_used(expected=True)
-        self.backends.note_words(earlier, _LEAVES, 0)
+        self.backends.apply_signals(earlier, _LEAVES, 0)
         self.backends.take([], ['i-1'])
         self.backends.take([replace(self.row, born_ms=200)], [])
         self.check_used(expected=True)
@@ -133,15 +133,15 @@
         """They are of requests that were there before."""
         self.say(_RESTS)
         self.backend.note_success()
-        self.backend.notice.note_answered(_NOW_MS)
+        self.backend.signals.record_answer(_NOW_MS)
         self.check_used(expected=False)
-        self.assertTrue(self.backend.notice.is_unproved)
+        self.assertTrue(self.backend.signals.needs_probe)
 
     def test_a_shorter_wish_does_not_end_a_longer_one(self) -> None:
         """Both are kept."""
         self.say(_RESTS)
         self.clock.advance(500)
-        self.say(Words(rest_ms=100))
+        self.say(ServerSignals(backoff_ms=100))
         self.clock.advance(2000)
         self.check_used(expected=False)
 
@@ -151,16 +151,16 @@
         self.clock.advance(3000)
         self.backend.note_place()
         self.check_used(expected=False)
-        self.backend.notice.note_answered(self.clock.now())
+        self.backend.signals.record_answer(self.clock.now())
         self.check_used(expected=True)
 
     def test_the_number_of_notices_is_bounded(self) -> None:
         """The oldest goes first."""
-        with patch.object(notices, '_KEPT_MAX', 2):
+        with patch.object(signal_state, '_KEPT_MAX', 2):
             for number in range(1, 5):
                 server = build_server(f'i-{number}')
                 self.backends.take([server], [])
                 backend = pick(self.backends, server.id)
-                self.backends.note_words(backend, _LEAVES, 0)
-        kept = self.backends._notices._by_id  # noqa: SLF001
+                self.backends.apply_signals(backend, _LEAVES, 0)
+        kept = self.backends._signals._by_id  # noqa: SLF001
         self.assertEqual(list(kept), ['i-3', 'i-4'])
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -12,7 +12,7 @@
 
 from seampond import clock as clocks
 from seampond.clock import MS_PER_SECOND, NS_PER_SECOND, Clock
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.gateway.daemon import RunningGateway
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.tests.rows import (
@@ -220,8 +220,10 @@
         backend = pick(gateway.components.backends, 'i-1')
         clock = gateway.components.clock
         for seconds in _JUMPS_S:
-            gateway.components.backends.note_words(
-                backend, Words(rest_ms=seconds * MS_PER_SECOND), clock.now()
+            gateway.components.backends.apply_signals(
+                backend,
+                ServerSignals(backoff_ms=seconds * MS_PER_SECOND),
+                clock.now(),
             )
             self.assertFalse(backend.may_send(clock.now()))
             self.sleeper.suspend(seconds)
--- a/seampond/permits/desk.py
+++ b/seampond/permits/desk.py
@@ -107,7 +107,7 @@
 
     def may_send(self, backend: Backend, *, for_return: bool = False) -> bool:
         """Whether a request may be sent to a server with a limit now."""
-        limit = backend.notice.limit
+        limit = backend.signals.limit
         if limit.has_permit(self._clock.now()):
             return True
         key = key_of(backend.server.life)
@@ -119,7 +119,7 @@
         self, backend: Backend, *, for_return: bool = False
     ) -> Permit | None:
         """Take up a permit to send now."""
-        limit, now_ms = backend.notice.limit, self._clock.now()
+        limit, now_ms = backend.signals.limit, self._clock.now()
         permit = limit.take_permit(now_ms)
         key = key_of(backend.server.life)
         if permit is None and self._owners.is_ours(key):
@@ -131,7 +131,7 @@
         self, backend: Backend, patience_ms: int, *, for_return: bool = False
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
-        limit, now_ms = backend.notice.limit, self._clock.now()
+        limit, now_ms = backend.signals.limit, self._clock.now()
         key = key_of(backend.server.life)
         limit.drop_old(now_ms)
         if self._owners.is_ours(key):
@@ -166,7 +166,7 @@
             in time.
 
         """
-        limit, key = backend.notice.limit, key_of(backend.server.life)
+        limit, key = backend.signals.limit, key_of(backend.server.life)
         if self._owners.is_ours(key):
             wait_ms = self._giver.reserve(key, limit)
         else:
@@ -178,7 +178,7 @@
 
     def opens_ms(self, backend: Backend, *, for_return: bool = False) -> int:
         """Give the time before which there is no other permit for us."""
-        limit, now_ms = backend.notice.limit, self._clock.now()
+        limit, now_ms = backend.signals.limit, self._clock.now()
         key = key_of(backend.server.life)
         if self._owners.is_ours(key):
             return self._giver.opens_ms(key, limit, for_return=for_return)
@@ -193,7 +193,7 @@
         The owner may have no requests for that server.  Asked for by each of
         many gateways, its permits would cost more words than they are worth.
         """
-        limit, now_ms = backend.notice.limit, self._clock.now()
+        limit, now_ms = backend.signals.limit, self._clock.now()
         self._look_after(limit, now_ms)
         is_due = limit.is_stale(now_ms) and now_ms >= limit.tries_ms
         if not is_due or limit.asked_ms is not None:
--- a/seampond/permits/tests/test_desk.py
+++ b/seampond/permits/tests/test_desk.py
@@ -8,7 +8,7 @@
 from seampond.errors import ForeignMessageError
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.permits.desk import Desk
 from seampond.permits.messages import (
     Ask,
@@ -79,8 +79,8 @@
 
     def say(self, rate: float | None) -> None:
         """Let the server answer a request that was sent just now."""
-        words = Words(limit=rate)
-        self.backends.note_words(self.backend, words, self.clock.now())
+        words = ServerSignals(limit=rate)
+        self.backends.apply_signals(self.backend, words, self.clock.now())
 
 
 class DeskTest(unittest.TestCase):
@@ -178,7 +178,7 @@
         self.asker.desk.ask(self.asker.backend, 0)
         self.asker.sent *= 2
         self.exchange()
-        self.assertEqual(len(self.asker.backend.notice.limit.permits), 1)
+        self.assertEqual(len(self.asker.backend.signals.limit.permits), 1)
 
     def test_lost_answer(self) -> None:
         """Asked again a little later; the late one counts no more."""
@@ -214,7 +214,7 @@
         self.assertTrue(reply.is_given)
         self.assertEqual(reply.wait_ms, lost.wait_ms - _RESEND_MS)
         self.answer()
-        self.assertEqual(len(self.asker.backend.notice.limit.permits), 1)
+        self.assertEqual(len(self.asker.backend.signals.limit.permits), 1)
 
     def test_owner_that_knows_better(self) -> None:
         """The limit is over: the asker hears it with the answer."""
@@ -222,7 +222,7 @@
         self.owner.say(None)
         self.asker.desk.ask(self.asker.backend, 0)
         self.exchange()
-        self.assertFalse(self.asker.backend.notice.limit.is_named)
+        self.assertFalse(self.asker.backend.signals.limit.is_named)
 
     def test_owner_that_has_not_heard(self) -> None:
         """The question tells it of the limit."""
@@ -232,7 +232,7 @@
         self.asker.say(3)
         self.asker.desk.ask(self.asker.backend, 0)
         self.exchange()
-        self.assertEqual(self.owner.backend.notice.limit.rate, 3)
+        self.assertEqual(self.owner.backend.signals.limit.rate, 3)
 
     def test_server_that_the_owner_does_not_know(self) -> None:
         """Its row comes later; the permits count from the first question."""
@@ -326,7 +326,7 @@
         key = key_of('i-1/7')
         self.assertEqual(self.asker.desk.tell(), {key: Word(None, 0)})
         self.owner.desk.take_told(self.asker.desk.tell())
-        self.assertFalse(self.owner.backend.notice.limit.is_named)
+        self.assertFalse(self.owner.backend.signals.limit.is_named)
         self.advance(10 * _SECOND_MS)
         self.assertEqual(self.asker.desk.tell(), {})
 
--- a/seampond/platform/servers.py
+++ b/seampond/platform/servers.py
@@ -51,7 +51,7 @@
     ...     b'{"service": "llm", "address": "10.0.0.9:80", "zone": "z",'
     ...     b' "slots": 4, "state": "ready"}'
     ... )
-    >>> read_server('i-1', row).is_leaving
+    >>> read_server('i-1', row).is_draining
     False
 
     """
@@ -62,7 +62,7 @@
         address=row.address,
         zone=row.zone,
         slots=row.slots,
-        is_leaving=row.state == names.DRAINING,
+        is_draining=row.state == names.DRAINING,
         version=row.version,
         cold_ms=round(row.cold_left_ms),
         born_ms=row.born,
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -118,7 +118,7 @@
             'slots': 3,
         }
         server = read_server('i-1', json.dumps(row).encode())
-        self.assertTrue(server.is_leaving)
+        self.assertTrue(server.is_draining)
         self.assertEqual(server.slots, 3)
 
 
--- a/seampond/testing/limited.py
+++ b/seampond/testing/limited.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from seampond.clock import MS_PER_SECOND
-from seampond.forwarding.words import parse_limit
+from seampond.forwarding.server_signals import parse_limit
 from seampond.testing.saying import Arrival, SayingFleet, SayingServer
 
 _WINDOW_MS = 4000
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -14,7 +14,7 @@
 from seampond.forwarding.permits import Permits
 from seampond.forwarding.refusals import Refusal
 from seampond.forwarding.scheduler import Scheduler
-from seampond.forwarding.words import Words
+from seampond.forwarding.server_signals import ServerSignals
 from seampond.permits.desk import Desk
 from seampond.permits.messages import Ask, Reply, encode_permit
 from seampond.sharing import Heartbeat, Peers, key_of
@@ -206,8 +206,8 @@
         if self.is_up:
             if limit is not None:
                 server.told_ms.setdefault(self.incarnation, clock.now())
-            words = Words(limit=limit)
-            self.backends.note_words(backend, words, sent_ms)
+            words = ServerSignals(limit=limit)
+            self.backends.apply_signals(backend, words, sent_ms)
             self.scheduler.release(backend)
         return None
 
