--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -51,7 +51,7 @@
         said that it leaves a last resort.
     bound_connections : Callable[[str], int]
         Gives how many connections we may have to each server of a pool.
-    key_of : Callable[[str], int]
+    hash_name : Callable[[str], int]
         Gives the key by which other gateways tell of a server's life.
     count_signal : Callable[[str], None]
         Counts an answer with a word of its server on itself.
@@ -69,7 +69,7 @@
         id_header: bytes,
         grace_ms: int = 0,
         bound_connections: Callable[[str], int] = _no_bound,
-        key_of: Callable[[str], int] = hash,
+        hash_name: Callable[[str], int] = hash,
         count_signal: Callable[[str], None] = _count_nothing,
     ) -> None:
         """Start with none."""
@@ -78,7 +78,7 @@
         self.note_limit: LimitCallback = _tell_nobody
         self._clock = clock
         self._id_header = id_header
-        self._key_of = key_of
+        self._hash_name = hash_name
         self._signals = SignalRegistry(count_signal, clock)
         self._by_id: dict[str, Backend] = {}
         self._by_key: dict[int, Backend] = {}
@@ -196,7 +196,7 @@
             backend.server, backend.signals, reported, self.grace_ms, sent_ms
         )
         if limit.said_ms == sent_ms:
-            key = self._key_of(backend.server.life)
+            key = self._hash_name(backend.server.life)
             self.note_limit(key, limit, is_other=limit.rate != before)
         if reported.is_draining:
             backend.drop_idle()
@@ -251,7 +251,7 @@
             backend.open_count -= 1
 
     def _add(self, server: Server) -> None:
-        told = self._told.get(self._key_of(server.life))
+        told = self._told.get(self._hash_name(server.life))
         signals = self._signals.of(server)
         self._signals.take_row(server, signals)
         self._by_id[server.id] = Backend(
@@ -312,7 +312,7 @@
             or backend.may_serve(now_ms)
         }
         self._by_key = {
-            self._key_of(backend.server.life): backend
+            self._hash_name(backend.server.life): backend
             for backend in self._by_id.values()
         }
         by_pool: dict[str, list[Backend]] = {}
--- a/seampond/forwarding/tests/test_lives.py
+++ b/seampond/forwarding/tests/test_lives.py
@@ -10,7 +10,7 @@
 
 from seampond.clock import ManualClock
 from seampond.forwarding.backend import LoadReport, OthersLoad
-from seampond.sharing import key_of
+from seampond.sharing import hash_name
 from seampond.testing.gateways import build_backends, build_server, pick
 
 
@@ -66,9 +66,9 @@
     def test_words_on_the_earlier_life_are_not_of_this_one(self) -> None:
         """Loads are told by life."""
         backends = build_backends([], self.clock)
-        backends._key_of = key_of  # noqa: SLF001
+        backends._hash_name = hash_name  # noqa: SLF001
         backends.take([replace(self.first, born_ms=200)], [])
-        backends.take_others({key_of('i-1/100'): OthersLoad(7, 0, 1000)})
+        backends.take_others({hash_name('i-1/100'): OthersLoad(7, 0, 1000)})
         self.assertIsNone(pick(backends, 'i-1').others)
-        backends.take_others({key_of('i-1/200'): OthersLoad(2, 0, 1000)})
+        backends.take_others({hash_name('i-1/200'): OthersLoad(2, 0, 1000)})
         self.assertEqual(pick(backends, 'i-1').load(1000), 2)
--- a/seampond/gateway/bounds.py
+++ b/seampond/gateway/bounds.py
@@ -3,7 +3,7 @@
 from seampond.clock import MS_PER_SECOND
 from seampond.rollouts.desk import Limits as ExposureLimits
 from seampond.settings.gateway import BoundSettings
-from seampond.sharing import Margin
+from seampond.sharing import QuotaMargin
 
 # Less than the bound: what is sent has to arrive inside it.
 _GRACE_PART = 0.7
@@ -14,9 +14,9 @@
     return round(bounds.drain_ms * _GRACE_PART)
 
 
-def make_quota_margin(bounds: BoundSettings) -> Margin:
+def make_quota_margin(bounds: BoundSettings) -> QuotaMargin:
     """Give what may be given beyond a quota."""
-    return Margin(
+    return QuotaMargin(
         bounds.quota_overrun,
         bounds.quota_slack,
         round(bounds.quota_window_s * MS_PER_SECOND),
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -33,10 +33,10 @@
     Load,
     Peers,
     Quotas,
-    ToldPage,
-    key_of,
+    RelayedPage,
+    hash_name,
 )
-from seampond.watches import Currency, Page, Proof, Watch
+from seampond.watches import FreshnessProof, Page, TableFreshness, Watch
 
 _PROOF_TOLD_MS = 1000
 # With a heartbeat it has to fit into one datagram of 64 KB.
@@ -57,7 +57,7 @@
     scheduler: Scheduler
     web: GatewayWeb
     configuration: ConfigurationFollower
-    currencies: Mapping[str, Currency]
+    currencies: Mapping[str, TableFreshness]
     peers: Peers
     quotas: Quotas
     budget: RetryBudget
@@ -69,7 +69,7 @@
     desk: Desk
     stalls: EventLoopStalls
     watches: dict[str, Watch] = field(default_factory=dict)
-    _pages: list[ToldPage] = field(default_factory=list)
+    _pages: list[RelayedPage] = field(default_factory=list)
 
     @property
     def is_ready(self) -> bool:
@@ -119,7 +119,7 @@
         for told in heartbeat.pages:
             self._take_page(told)
         for table, currency in self.currencies.items():
-            proof = heartbeat.proofs.get(key_of(table))
+            proof = heartbeat.proofs.get(hash_name(table))
             if proof is not None:
                 currency.take_proof(proof)
         now_ms = self.clock.now()
@@ -181,32 +181,32 @@
         if sum(row.size for row in page.rows) > _PAGE_MAX_BYTES:
             return
         self._pages.append(
-            ToldPage(
-                key_of(table), since, page.version, page.store_ms, page.rows
+            RelayedPage(
+                hash_name(table), since, page.version, page.store_ms, page.rows
             )
         )
 
-    def _take_page(self, told: ToldPage) -> None:
+    def _take_page(self, told: RelayedPage) -> None:
         """Take what another gateway has read."""
         page = Page(
             told.rows, told.version, told.store_ms, 0, 0, is_whole=False
         )
         for table, watch in self.watches.items():
-            if key_of(table) == told.table:
+            if hash_name(table) == told.table:
                 watch.take_told(told.since, page)
 
-    def _proofs(self) -> dict[int, Proof]:
+    def _proofs(self) -> dict[int, FreshnessProof]:
         """Give what is young; each heartbeat after a proof may be lost."""
         oldest_ms = self.clock.now() - _PROOF_TOLD_MS
         return {
-            key_of(table): currency.proof
+            hash_name(table): currency.proof
             for table, currency in self.currencies.items()
             if currency.proof is not None and currency.told_ms > oldest_ms
         }
 
     def _loads(self) -> dict[int, Load]:
         return {
-            key_of(backend.server.life): Load(
+            hash_name(backend.server.life): Load(
                 backend.in_flight, backend.own_unread
             )
             for backend in self.backends
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -28,11 +28,11 @@
 )
 from seampond.platform.quarantine import QuarantineTable
 from seampond.settings.gateway import GatewaySettings
-from seampond.sharing.exchange import (
-    Sharing,
+from seampond.sharing.transport import (
+    TransportContext,
+    apply_gateway_rows,
     register,
     share,
-    take_gateways,
     unregister,
 )
 from seampond.suspension import watch_suspension
@@ -164,7 +164,7 @@
 async def _share(components: GatewayComponents) -> AsyncIterator[None]:
     """Make ourselves known and exchange heartbeats until the end."""
     settings, clock = components.settings, components.clock
-    sharing = Sharing(
+    sharing = TransportContext(
         components.peers,
         components.make_heartbeat,
         components.note_told,
@@ -332,7 +332,7 @@
             (SERVERS_TABLE, components.servers.take, _PROOF_MS, _CALM),
             (
                 GATEWAYS_TABLE,
-                functools.partial(take_gateways, components.peers),
+                functools.partial(apply_gateway_rows, components.peers),
                 _GATEWAYS_PROOF_MS,
                 _CALM,
             ),
--- a/seampond/gateway/tests/test_ages.py
+++ b/seampond/gateway/tests/test_ages.py
@@ -3,7 +3,7 @@
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.names import CONFIGURATION_TABLE
 from seampond.testing.gateways import until_true
-from seampond.watches import Proof
+from seampond.watches import FreshnessProof
 
 _LATER_MS = 1_000_000_000
 
@@ -25,6 +25,6 @@
         self.assertFalse(read('table_missing_seconds', **labels))
         self.store.is_down = True
         currency = gateway.components.currencies[CONFIGURATION_TABLE]
-        currency.take_proof(Proof(currency.version + 1, _LATER_MS))
+        currency.take_proof(FreshnessProof(currency.version + 1, _LATER_MS))
         await until_true(lambda: read('table_missing_seconds', **labels))
         self.assertTrue(read('configuration_proof_age_seconds'))
--- a/seampond/gateway/tests/test_catching_up.py
+++ b/seampond/gateway/tests/test_catching_up.py
@@ -24,7 +24,7 @@
 from seampond.platform.names import CONFIGURATION_TABLE
 from seampond.platform.tests.rows import ConfigurationRow, put_configuration
 from seampond.testing.gateways import until_true
-from seampond.watches import Proof
+from seampond.watches import FreshnessProof
 
 _TENANTS = 2000
 _VERSIONS = 60
@@ -57,7 +57,7 @@
         gateway = await self.start_ready()
         self.store.is_down = True
         currency = gateway.components.currencies[CONFIGURATION_TABLE]
-        currency.take_proof(Proof(currency.version + 1, _LATER_MS))
+        currency.take_proof(FreshnessProof(currency.version + 1, _LATER_MS))
         for path, key in (('/new/', 'k1'), ('/x/y', 'new')):
             response = await self.ask(gateway, path, key)
             self.assertEqual(
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -282,10 +282,10 @@
 
 def _knows_rows(gateway: RunningGateway) -> bool:
     known = gateway.components.quarantine.trials
-    return known.is_quarantined(_key_of(CRASHING_BODY))
+    return known.is_quarantined(_hash_name(CRASHING_BODY))
 
 
-def _key_of(body: bytes) -> int:
+def _hash_name(body: bytes) -> int:
     return fingerprint(b'POST', HOST.encode(), b'/x/y', TENANT, body)
 
 
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -37,7 +37,7 @@
     GatewaySettings,
     StoreSettings,
 )
-from seampond.sharing import Heartbeat, key_of
+from seampond.sharing import Heartbeat, hash_name
 from seampond.testing.gateways import until_true
 from seampond.testing.scripted import (
     Received,
@@ -46,7 +46,7 @@
     write_answer,
 )
 from seampond.testing.store import StandInStore, run_store
-from seampond.watches import Proof
+from seampond.watches import FreshnessProof
 
 # The stand-in's steady clock against ours.
 _STORE_AHEAD_MS = 1_000_000
@@ -314,14 +314,16 @@
         for sequence, newer in ((1, 0), (2, 100)):
             await clock.sleep(300)
             before_ms = _age_ms(admission)
-            proof = Proof(changed + newer, clock.now() + _STORE_AHEAD_MS)
+            proof = FreshnessProof(
+                changed + newer, clock.now() + _STORE_AHEAD_MS
+            )
             heartbeat = Heartbeat(
                 'g2',
                 1,
                 sequence,
                 proofs={
-                    key_of(CONFIGURATION_TABLE): proof,
-                    key_of('other'): proof,
+                    hash_name(CONFIGURATION_TABLE): proof,
+                    hash_name('other'): proof,
                 },
             )
             self.assertTrue(components.peers.take_heartbeat(heartbeat))
--- a/seampond/gateway/tests/test_passing_on.py
+++ b/seampond/gateway/tests/test_passing_on.py
@@ -6,7 +6,7 @@
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.names import SERVERS_TABLE
 from seampond.platform.tests.rows import POOL, put_gateway
-from seampond.sharing import Heartbeat, ToldPage, key_of
+from seampond.sharing import Heartbeat, RelayedPage, hash_name
 from seampond.testing.gateways import until_true
 from seampond.watches import Page, Row
 
@@ -45,7 +45,9 @@
             'state': 'ready',
         }
         row = Row('i-9', json.dumps(content).encode(), since + 1)
-        page = ToldPage(key_of(SERVERS_TABLE), since, since + 1, 1, (row,))
+        page = RelayedPage(
+            hash_name(SERVERS_TABLE), since, since + 1, 1, (row,)
+        )
         components.take_heartbeat(Heartbeat('peer-1', 1, 2, pages=(page,)))
         known = components.backends.get('i-9')
         assert known is not None
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -26,7 +26,7 @@
 from seampond.platform.rollouts import read_order, read_status, read_step
 from seampond.platform.tests.rows import put_server
 from seampond.sharing import Peers
-from seampond.sharing.exchange import take_gateways
+from seampond.sharing.transport import apply_gateway_rows
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import ZONE, build_backends, pick, until_true
 from seampond.watches import Page, Row
@@ -210,11 +210,11 @@
         """A row that is none neither adds nor removes a gateway."""
         peers = Peers('g0', ManualClock())
         good = Row('g1', b'{"address": "10.0.0.1:7600"}', 2)
-        take_gateways(peers, Page((good,), 9, 0, 0, 0, is_whole=True))
+        apply_gateway_rows(peers, Page((good,), 9, 0, 0, 0, is_whole=True))
         rows = [Row(f'b-{key}', content, 2) for key, content in enumerate(told)]
         spoiled = Row('g1', b'[' * 100_000, 3)
         page = Page((*rows, spoiled), 9, 0, 0, 0, is_whole=True)
-        take_gateways(peers, page)
+        apply_gateway_rows(peers, page)
         self.assertEqual(peers.address_of('g1'), '10.0.0.1:7600')
 
     def _read(self, read: Any, told: Any) -> None:
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -17,7 +17,7 @@
 from seampond.rollouts import Rollouts
 from seampond.rollouts.desk import Limits
 from seampond.rollouts.models import Tally
-from seampond.sharing import key_of
+from seampond.sharing import hash_name
 from seampond.testing.gateways import (
     POOL,
     build_backends,
@@ -48,7 +48,7 @@
             backends.all_of_pool,
             lambda pool: True,
             list,
-            key_of,
+            hash_name,
         )
         rollouts.take_orders([build_order()], [], 1000, is_start=False)
         earlier = pick(backends, 'i-1')
@@ -78,7 +78,7 @@
             lambda pool: places,
             lambda pool: True,
             list,
-            key_of,
+            hash_name,
         )
         self.versions = RolloutVersions(rollouts, self.clock)
 
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -11,7 +11,7 @@
 from seampond.gateway.stalls import EventLoopStalls
 from seampond.rollouts import Rollouts
 from seampond.rollouts.slowness import LEAST_SLOWER_MS, Pace
-from seampond.sharing import key_of
+from seampond.sharing import hash_name
 
 _BAD = frozenset(
     (Outcome.failed.value, Outcome.in_doubt.value, Outcome.rejected.value)
@@ -55,7 +55,7 @@
         is_cold = now_ms < backend.cold_until_ms
         self.rollouts.note_answer(
             backend.server.pool,
-            key_of(job.route.name),
+            hash_name(job.route.name),
             backend.server.version,
             None if is_bad or is_cold else _measure(job, tried, stalled_ms),
             now_ms,
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -39,8 +39,8 @@
 from seampond.quarantine.trials import Trials
 from seampond.rollouts import Report, Rollouts
 from seampond.settings.gateway import BoundSettings, GatewaySettings
-from seampond.sharing import Peers, Quotas, key_of
-from seampond.watches import Currency, StoreTime
+from seampond.sharing import Peers, Quotas, hash_name
+from seampond.watches import StoreClock, TableFreshness
 
 _INCARNATION_BITS = 48
 
@@ -66,7 +66,7 @@
     belief: Belief,
     backends: Backends,
     peers: Peers,
-    store_time: StoreTime,
+    store_time: StoreClock,
 ) -> Rollouts:
     """Wire the roll-outs."""
 
@@ -89,7 +89,7 @@
         backends.all_of_pool,
         has_pool,
         list_reports,
-        key_of,
+        hash_name,
         store_time.store_ms,
         store_time.local_ms,
     )
@@ -98,7 +98,7 @@
 def _show_ages(
     metrics: GatewayMetrics,
     belief: Belief,
-    currencies: Mapping[str, Currency],
+    currencies: Mapping[str, TableFreshness],
     clock: Clock,
 ) -> None:
     """Let the metrics tell how old and how complete beliefs are when asked."""
@@ -111,7 +111,7 @@
         )
 
 
-def _missing_seconds(currency: Currency) -> float:
+def _missing_seconds(currency: TableFreshness) -> float:
     return currency.missing_ms / MS_PER_SECOND
 
 
@@ -137,10 +137,10 @@
         HEADERS.request_id,
         compute_grace_ms(bounds),
         lambda pool: connection_limit(belief, peers, pool),
-        key_of,
+        hash_name,
         lambda word: metrics.words.labels(word).inc(),
     )
-    store_time = StoreTime()
+    store_time = StoreClock()
     rollouts = make_rollouts(bounds, belief, backends, peers, store_time)
     stalls = EventLoopStalls()
     versions = RolloutVersions(rollouts, clock, stalls)
@@ -173,7 +173,7 @@
     quarantine = Quarantine(
         Suspects(clock),
         Trials(store_time, clock),
-        key_of,
+        hash_name,
         is_urgent.set,
         lambda leave: metrics.trials.labels(leave).inc(),
         clock,
@@ -181,12 +181,16 @@
     metrics.suspects.set_function(lambda: len(quarantine.suspects))
     configuration = ConfigurationFollower(belief, promises, metrics, clock)
     currencies = {
-        CONFIGURATION_TABLE: Currency(
+        CONFIGURATION_TABLE: TableFreshness(
             clock, store_time, configuration.note_proof
         ),
-        SERVERS_TABLE: Currency(clock, store_time, lambda proved_ms: None),
-        GATEWAYS_TABLE: Currency(clock, store_time, lambda proved_ms: None),
-        STATUS_TABLE: Currency(clock, store_time, lambda proved_ms: None),
+        SERVERS_TABLE: TableFreshness(
+            clock, store_time, lambda proved_ms: None
+        ),
+        GATEWAYS_TABLE: TableFreshness(
+            clock, store_time, lambda proved_ms: None
+        ),
+        STATUS_TABLE: TableFreshness(clock, store_time, lambda proved_ms: None),
     }
     _show_ages(metrics, belief, currencies, clock)
     belief.is_behind = lambda: currencies[CONFIGURATION_TABLE].is_missing
--- a/seampond/permits/desk.py
+++ b/seampond/permits/desk.py
@@ -14,7 +14,7 @@
 from seampond.permits.heard import Heard, make_word
 from seampond.permits.messages import Ask, Reply, Word
 from seampond.permits.owners import Gateways, Owners
-from seampond.sharing.keys import key_of
+from seampond.sharing.hashing import hash_name
 
 # A few round trips between halls.
 _REPLY_MS = 150
@@ -110,7 +110,7 @@
         limit = backend.signals.limit
         if limit.has_permit(self._clock.now()):
             return True
-        key = key_of(backend.server.life)
+        key = hash_name(backend.server.life)
         if not self._owners.is_ours(key):
             return False
         return self._giver.has_permit(key, limit, for_return=for_return)
@@ -121,7 +121,7 @@
         """Take up a permit to send now."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         permit = limit.take_permit(now_ms)
-        key = key_of(backend.server.life)
+        key = hash_name(backend.server.life)
         if permit is None and self._owners.is_ours(key):
             self.ask(backend, 0, for_return=for_return)
             permit = limit.take_permit(now_ms)
@@ -132,7 +132,7 @@
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
         limit, now_ms = backend.signals.limit, self._clock.now()
-        key = key_of(backend.server.life)
+        key = hash_name(backend.server.life)
         limit.drop_old(now_ms)
         if self._owners.is_ours(key):
             wait_ms = self._giver.give(
@@ -166,7 +166,7 @@
             in time.
 
         """
-        limit, key = backend.signals.limit, key_of(backend.server.life)
+        limit, key = backend.signals.limit, hash_name(backend.server.life)
         if self._owners.is_ours(key):
             wait_ms = self._giver.reserve(key, limit)
         else:
@@ -179,7 +179,7 @@
     def opens_ms(self, backend: Backend, *, for_return: bool = False) -> int:
         """Give the time before which there is no other permit for us."""
         limit, now_ms = backend.signals.limit, self._clock.now()
-        key = key_of(backend.server.life)
+        key = hash_name(backend.server.life)
         if self._owners.is_ours(key):
             return self._giver.opens_ms(key, limit, for_return=for_return)
         self._look_after(limit, now_ms)
--- a/seampond/permits/heard.py
+++ b/seampond/permits/heard.py
@@ -37,7 +37,9 @@
     def tell(self) -> Mapping[int, Word]:
         """Give the newest words, by key of the life; forget old ones."""
         now_ms = self._clock.now()
-        told_ms = max(_TOLD_MS, _TOLD_BEATS * self._gateways.beat_ms)
+        told_ms = max(
+            _TOLD_MS, _TOLD_BEATS * self._gateways.heartbeat_interval_ms
+        )
         self._limits = {
             key: (limit, since_ms)
             for key, (limit, since_ms) in self._limits.items()
--- a/seampond/permits/owners.py
+++ b/seampond/permits/owners.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from seampond.sharing.keys import key_of
+from seampond.sharing.hashing import hash_name
 
 # Of a server that takes nothing, somebody has to hear when that is over.
 _LEAST_RATE = 0.25
@@ -26,7 +26,7 @@
         """How many gateways there may be."""
 
     @property
-    def beat_ms(self) -> int:
+    def heartbeat_interval_ms(self) -> int:
         """How long after one heartbeat the next is due."""
 
 
@@ -61,7 +61,7 @@
             self._owned_among = among
         owner = self._owners.get(key)
         if owner is None:
-            owner = max(among, key=lambda name: key_of(f'{name} {key}'))
+            owner = max(among, key=lambda name: hash_name(f'{name} {key}'))
             self._owners[key] = owner
         return owner
 
--- a/seampond/permits/tests/test_desk.py
+++ b/seampond/permits/tests/test_desk.py
@@ -17,7 +17,7 @@
     decode_permit,
     encode_permit,
 )
-from seampond.sharing import Heartbeat, Peers, key_of
+from seampond.sharing import Heartbeat, Peers, hash_name
 from seampond.sharing.heartbeats import decode
 from seampond.testing.gateways import NAMES, build_server, pick
 
@@ -40,7 +40,7 @@
         self.others = others
         self.sequence = 0
         self.hear_all()
-        self.backends = Backends(clock, NAMES.request_id, key_of=key_of)
+        self.backends = Backends(clock, NAMES.request_id, hash_name=hash_name)
         self.backends.keep_only([build_server('i-1', born_ms=7)])
         self.counted: list[str] = []
         self.desk = Desk(
@@ -245,7 +245,7 @@
 
     def test_who_is_not_the_owner_gives_nothing(self) -> None:
         """It was asked by one that knows other gateways."""
-        ask = Ask('g9', key_of('i-1/7'), 1, Word(_RATE, 0), _SECOND_MS)
+        ask = Ask('g9', hash_name('i-1/7'), 1, Word(_RATE, 0), _SECOND_MS)
         self.asker.desk.take_ask(ask)
         reply = self.asker.sent[-1][1]
         assert isinstance(reply, Reply)
@@ -323,7 +323,7 @@
         """What was said of late, also that a limit is over."""
         self.advance(1)
         self.asker.say(None)
-        key = key_of('i-1/7')
+        key = hash_name('i-1/7')
         self.assertEqual(self.asker.desk.tell(), {key: Word(None, 0)})
         self.owner.desk.take_told(self.asker.desk.tell())
         self.assertFalse(self.owner.backend.signals.limit.is_named)
--- a/seampond/quarantine/quarantine.py
+++ b/seampond/quarantine/quarantine.py
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    key_of : Callable[[str], int]
+    hash_name : Callable[[str], int]
         Gives the key by which gateways tell of a server's life.
     tell : Callable[[], None]
         Called when the others should hear of new evidence at once.
@@ -64,7 +64,7 @@
         self,
         suspects: Suspects,
         trials: Trials,
-        key_of: Callable[[str], int],
+        hash_name: Callable[[str], int],
         tell: Callable[[], None],
         count_trial: Callable[[str], None],
         clock: Clock,
@@ -72,7 +72,7 @@
         """Start with nothing under way."""
         self.suspects = suspects
         self.trials = trials
-        self._key_of = key_of
+        self._hash_name = hash_name
         self._tell = tell
         self._count_trial = count_trial
         self._clock = clock
@@ -147,12 +147,12 @@
 
     def note_end(self, job: Job, server: Server, started_ms: int) -> None:
         """Note that a connection broke with a request on it."""
-        self._note(job.fingerprint, self._key_of(server.life), started_ms)
+        self._note(job.fingerprint, self._hash_name(server.life), started_ms)
         self.note_over(server)
 
     def note_over(self, server: Server) -> None:
         """Note that a server has ended: runs given up shortly before count."""
-        life = self._key_of(server.life)
+        life = self._hash_name(server.life)
         oldest_ms = self._clock.now() - _LEFT_MS
         for run in list(self._left):
             if run.at_ms < oldest_ms:
@@ -163,7 +163,7 @@
 
     def note_left(self, job: Job, server: Server, started_ms: int) -> None:
         """Note that a run was given up while its server was at work."""
-        life = self._key_of(server.life)
+        life = self._hash_name(server.life)
         now_ms = self._clock.now()
         self._left.append(LeftRun(job.fingerprint, life, started_ms, now_ms))
 
--- a/seampond/quarantine/tests/test_trials.py
+++ b/seampond/quarantine/tests/test_trials.py
@@ -8,7 +8,7 @@
 from seampond.errors import ConflictError, UnknownOutcomeError
 from seampond.quarantine.models import TrialRow
 from seampond.quarantine.trials import TRIAL_PAUSES_MS, Trials
-from seampond.watches import Page, StoreTime, make_version
+from seampond.watches import Page, StoreClock, make_version
 
 _REQUEST = 7
 
@@ -62,7 +62,7 @@
 
     def make_trials(self) -> Trials:
         """Give the trials of a gateway that has just started."""
-        store_time = StoreTime()
+        store_time = StoreClock()
         store_time.take(Page((), 1, 5000, 1000, 1000, is_whole=False))
         trials = Trials(store_time, self.clock)
         trials.table = self.table
--- a/seampond/quarantine/trials.py
+++ b/seampond/quarantine/trials.py
@@ -16,7 +16,7 @@
 from seampond.errors import ConflictError, PlatformError
 from seampond.quarantine.fingerprints import show
 from seampond.quarantine.models import TrialRow
-from seampond.watches import StoreTime, era_of
+from seampond.watches import StoreClock, era_of
 
 # How long after the trial before it each may be made, the first at once: a
 # sound request that two servers have ended under is served by it.  More than
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    store_time : StoreTime
+    store_time : StoreClock
         Sets the store's clock against ours.
 
     Attributes
@@ -62,7 +62,7 @@
 
     """
 
-    def __init__(self, store_time: StoreTime, clock: Clock) -> None:
+    def __init__(self, store_time: StoreClock, clock: Clock) -> None:
         """Start without a table."""
         self.table: TrialTable | None = None
         self.is_known = True
--- a/seampond/rollouts/desk.py
+++ b/seampond/rollouts/desk.py
@@ -74,7 +74,7 @@
     list_reports : Callable[[], Sequence[Mapping[int, Report]] or None]
         What each other gateway that may be serving has told last, by pool;
         None while one of them is not heard.
-    key_of : Callable[[str], int]
+    hash_name : Callable[[str], int]
         Gives the key by which gateways tell of a name.
     store_ms : Callable[[int], int]
         Gives a moment of our clock by the store's.
@@ -88,7 +88,7 @@
     places_of: Callable[[str], Sequence[Placed]]
     has_pool: Callable[[str], bool]
     list_reports: Callable[[], Sequence[Mapping[int, Report]] | None]
-    key_of: Callable[[str], int]
+    hash_name: Callable[[str], int]
     store_ms: Callable[[int], int] = int
     local_ms: Callable[[int], int] = int
     slowness: Slowness = field(default_factory=Slowness)
@@ -190,7 +190,7 @@
         self, name: str, life: int, reports: Iterable[Report]
     ) -> None:
         """Take what another gateway tells."""
-        by_key = {self.key_of(pool): known for pool, known in self._items()}
+        by_key = {self.hash_name(pool): known for pool, known in self._items()}
         for report in reports:
             known = by_key.get(report.pool)
             if known is None or known.rollout is None:
@@ -206,7 +206,7 @@
         """Give what the others are told."""
         return tuple(
             known.rollout.report(
-                self.key_of(pool), known.rollout.count(self.places_of(pool))
+                self.hash_name(pool), known.rollout.count(self.places_of(pool))
             )
             for pool, known in self._items()
             if known.rollout is not None
@@ -410,7 +410,7 @@
         others = self.list_reports()
         if others is None:
             return None
-        key = self.key_of(pool)
+        key = self.hash_name(pool)
         reports = [rollout.report(key, rollout.count(self.places_of(pool)))]
         for told in others:
             report = told.get(key)
--- a/seampond/rollouts/tests/test_model.py
+++ b/seampond/rollouts/tests/test_model.py
@@ -39,7 +39,7 @@
 _TICK_MS = 60_000
 
 
-def _key_of(name: str) -> int:
+def _hash_name(name: str) -> int:
     return _KEY
 
 
@@ -71,7 +71,7 @@
             self.list_places,
             _has_pool,
             self.list_reports,
-            _key_of,
+            _hash_name,
         )
 
     def list_places(self, pool: str) -> list[ListedPlace]:
--- a/seampond/sharing/__init__.py
+++ b/seampond/sharing/__init__.py
@@ -1,10 +1,12 @@
 """What gateways share: who they are, and how a quota is split."""
 
-from seampond.sharing.bucket import Margin as Margin
+from seampond.sharing.bucket import QuotaMargin as QuotaMargin
+from seampond.sharing.hashing import hash_name as hash_name
 from seampond.sharing.heartbeats import Heartbeat as Heartbeat
 from seampond.sharing.heartbeats import Load as Load
-from seampond.sharing.heartbeats import ToldPage as ToldPage
-from seampond.sharing.keys import key_of as key_of
+from seampond.sharing.heartbeats import RelayedPage as RelayedPage
 from seampond.sharing.peers import Peers as Peers
-from seampond.sharing.peers import give_beat_ms as give_beat_ms
+from seampond.sharing.peers import (
+    compute_heartbeat_interval_ms as compute_heartbeat_interval_ms,
+)
 from seampond.sharing.quotas import Quotas as Quotas
--- a/seampond/sharing/bucket.py
+++ b/seampond/sharing/bucket.py
@@ -5,7 +5,7 @@
 from seampond.clock import MS_PER_SECOND
 from seampond.forwarding.models import Tenant
 from seampond.sharing.fairness import Fairness
-from seampond.sharing.window import GivenWindow
+from seampond.sharing.grant_window import GrantWindow
 
 # Of the share and of the units that may be given beyond a quota, what is given;
 # the rest is left for what gateways have not told each other yet.
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Margin:
+class QuotaMargin:
     """What may be given beyond a quota, in any window of some seconds.
 
     Parameters
@@ -42,7 +42,7 @@
 
         Examples
         --------
-        >>> Margin(0.1, 1000).give_most(Tenant('t', rate=100, burst=200))
+        >>> QuotaMargin(0.1, 1000).give_most(Tenant('t', rate=100, burst=200))
         1610.0
 
         """
@@ -90,7 +90,7 @@
         How much of it the others have been told.
     fairness : Fairness
         What the ranks of work have asked here.
-    window : GivenWindow
+    window : GrantWindow
         What all gateways have given in the last window, as far as we know.
     parted_ms : int
         Since when some gateway is silent.
@@ -100,7 +100,7 @@
     tenant: Tenant
     filled_ms: int
     fairness: Fairness
-    window: GivenWindow
+    window: GrantWindow
     level: float = 0
     plain: float = 0
     part_level: float = 0
@@ -133,7 +133,7 @@
             self.window.clear()
         self.tenant = tenant
 
-    def is_ample(self, now_ms: int, margin: Margin) -> bool:
+    def is_ample(self, now_ms: int, margin: QuotaMargin) -> bool:
         """Whether what one gateway gives is in no hurry to be told."""
         most = margin.give_most(self.tenant) * self.part
         if self.left(now_ms, margin) < most * _AMPLE_PART:
@@ -141,7 +141,7 @@
         ample = self.tenant.burst * self.part * _AMPLE_PART
         return min(self.level, self.part_level) > ample
 
-    def left(self, now_ms: int, margin: Margin) -> float:
+    def left(self, now_ms: int, margin: QuotaMargin) -> float:
         """Give what the window still has room for.
 
         Explanation
@@ -154,7 +154,7 @@
         known_part = 1 - (1 - self.part) * silent_part
         return most * known_part - self.window.total(now_ms)
 
-    def fill(self, now_ms: int, margin: Margin, part: float) -> None:
+    def fill(self, now_ms: int, margin: QuotaMargin, part: float) -> None:
         """Let flow in what has come since the last time.
 
         Explanation
--- a/seampond/sharing/fairness.py
+++ b/seampond/sharing/fairness.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class Demand:
     """What one rank of work has asked of late, and what it was given.
 
     Parameters
@@ -66,12 +66,12 @@
     def __init__(self, clock: Clock) -> None:
         """Start with nothing asked."""
         self._clock = clock
-        self._by_rank: dict[int, Asked] = {}
+        self._by_rank: dict[int, Demand] = {}
 
     def note(self, rank: int, units: float, *, is_given: bool) -> None:
         """Note a request of `rank`, and whether it was given."""
         now_ms = self._clock.now()
-        known = self._by_rank.setdefault(rank, Asked())
+        known = self._by_rank.setdefault(rank, Demand())
         known.decay(now_ms)
         known.asked += 1
         if is_given:
@@ -82,7 +82,7 @@
 
     def kept_from(self, rank: int) -> float:
         """Give the units that a request of `rank` has to leave for others."""
-        own = self._by_rank.get(rank, Asked(asked=1))
+        own = self._by_rank.get(rank, Demand(asked=1))
         since_ms = self._clock.now() - _REMEMBER_MS
         kept = [
             known.refused_units
--- a/seampond/sharing/window.py
+++ b/seampond/sharing/grant_window.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True)
-class GivenWindow:
+class GrantWindow:
     """A sum over a window that slides, in slots of a quarter of a second.
 
     Parameters
@@ -17,7 +17,7 @@
 
     Examples
     --------
-    >>> window = GivenWindow(8000)
+    >>> window = GrantWindow(8000)
     >>> window.add(1000, 30)
     >>> window.add(5000, 12)
     >>> window.total(8900), window.total(9300), window.total(14_000)
--- a/seampond/sharing/keys.py
+++ b/seampond/sharing/hashing.py
@@ -8,7 +8,7 @@
 
 
 @functools.lru_cache(maxsize=_KNOWN_MAX)
-def key_of(name: str) -> int:
+def hash_name(name: str) -> int:
     """Give the same key of 40 bits for a name in every process.
 
     Explanation
@@ -18,8 +18,10 @@
 
     Examples
     --------
-    >>> key_of('i-1') == key_of('i-1'), key_of('i-1') == key_of('i-2')
-    (True, False)
+    >>> hash_name('i-1') == hash_name('i-1')
+    True
+    >>> hash_name('i-1') == hash_name('i-2')
+    False
 
     """
     digest = hashlib.blake2b(name.encode(), digest_size=_KEY_BYTES).digest()
--- a/seampond/sharing/heartbeats.py
+++ b/seampond/sharing/heartbeats.py
@@ -13,7 +13,7 @@
 from seampond.permits.messages import Word, decode_rate, encode_rate
 from seampond.quarantine.models import ToldEnd
 from seampond.rollouts.models import Report, Stage, Tally, TallyKey
-from seampond.watches import Proof, Row
+from seampond.watches import FreshnessProof, Row
 
 _MAX_UINT32 = 4_294_967_295
 _SCHEMA_FILE = 'heartbeat.capnp'
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldPage:
+class RelayedPage:
     """Changes of a table of the store, passed on as they were read.
 
     Parameters
@@ -82,14 +82,14 @@
         By key of the server, what it has where it has anything.
     spent : Mapping[int, float]
         By key of the tenant, what it has given in this life, in units.
-    proofs : Mapping[int, Proof]
+    proofs : Mapping[int, FreshnessProof]
         By key of a table of the store, what it knows of its newest change.
     levels : Mapping[int, int]
         By key of the tenant, the level of its bucket in units, below zero
         for a debt; told while a gateway is there that has just started.
     is_cut : bool
         Whether its calls to the store fail, so that it passes nothing on.
-    pages : tuple[ToldPage, ...]
+    pages : tuple[RelayedPage, ...]
         What it has read of the store since its last heartbeat.
     rollouts : tuple[Report, ...]
         How far it has come with the roll-outs that are carried out.
@@ -114,10 +114,10 @@
     uptime_ms: int = 0
     loads: Mapping[int, Load] = field(default_factory=dict)
     is_gone: bool = False
-    proofs: Mapping[int, Proof] = field(default_factory=dict)
+    proofs: Mapping[int, FreshnessProof] = field(default_factory=dict)
     levels: Mapping[int, int] = field(default_factory=dict)
     is_cut: bool = False
-    pages: tuple[ToldPage, ...] = ()
+    pages: tuple[RelayedPage, ...] = ()
     rollouts: tuple[Report, ...] = ()
     ends: tuple[ToldEnd, ...] = ()
     good: Mapping[int, int] = field(default_factory=dict)
@@ -142,7 +142,7 @@
     return dict(zip(keys, told, strict=True))
 
 
-def _describe(page: ToldPage) -> dict[str, Any]:
+def _describe(page: RelayedPage) -> dict[str, Any]:
     """Give the fields of a page as the schema names them."""
     return {
         'table': page.table,
@@ -156,7 +156,7 @@
     }
 
 
-def _read_page(reader: Any) -> ToldPage:
+def _read_page(reader: Any) -> RelayedPage:
     columns = (
         reader.rowKeys,
         reader.rowContents,
@@ -167,7 +167,7 @@
         Row(key, bytes(content), version, is_gone)
         for key, content, version, is_gone in zip(*columns, strict=True)
     )
-    return ToldPage(
+    return RelayedPage(
         reader.table, reader.since, reader.version, reader.storeMs, rows
     )
 
@@ -292,7 +292,7 @@
             reader.isGone,
             _join(
                 reader.proofTables,
-                map(Proof, reader.proofChanged, reader.proofStoreMs),
+                map(FreshnessProof, reader.proofChanged, reader.proofStoreMs),
             ),
             _join(reader.levelTenants, reader.levelUnits),
             reader.isCut,
--- a/seampond/sharing/loads.py
+++ b/seampond/sharing/loads.py
@@ -7,7 +7,7 @@
 _NOTHING = Load(0, 0)
 
 
-class LoadSums:
+class LoadTotals:
     """Sums over gateways, kept by what each changes.
 
     Explanation
@@ -17,7 +17,7 @@
 
     Examples
     --------
-    >>> sums = LoadSums()
+    >>> sums = LoadTotals()
     >>> sums.replace({}, {7: Load(2, 500)})
     >>> sums.replace({7: Load(2, 500)}, {7: Load(1, 0), 8: Load(1, 90)})
     >>> sorted(sums.take_changed().items())
--- a/seampond/sharing/peers.py
+++ b/seampond/sharing/peers.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from seampond.clock import Clock
+from seampond.sharing.hashing import hash_name
 from seampond.sharing.heartbeats import Heartbeat, Load
-from seampond.sharing.keys import key_of
-from seampond.sharing.loads import LoadSums
+from seampond.sharing.loads import LoadTotals
 
 _BEAT_MS = 300
 _LONGEST_BEAT_MS = 3000
@@ -64,14 +64,14 @@
         """Whether it has ended a planned stop."""
         return self.heartbeat is not None and self.heartbeat.is_gone
 
-    def count_loads(self, sums: LoadSums, loads: Mapping[int, Load]) -> None:
+    def count_loads(self, sums: LoadTotals, loads: Mapping[int, Load]) -> None:
         """Put its loads into sums in the place of those before."""
         sums.replace(self.counted, loads)
         self.counted = loads
 
 
 @dataclass(frozen=True, slots=True)
-class Census:
+class PeerSummary:
     """How many other gateways there may be, and how many are heard.
 
     Parameters
@@ -96,13 +96,13 @@
     givers: tuple[str, ...] = ()
 
 
-def give_beat_ms(gateways: int) -> int:
+def compute_heartbeat_interval_ms(gateways: int) -> int:
     """Give how long after one heartbeat the next is due, if none is urgent.
 
     Examples
     --------
-    >>> give_beat_ms(4), give_beat_ms(68), give_beat_ms(340)
-    (300, 680, 3000)
+    >>> [compute_heartbeat_interval_ms(count) for count in (4, 68, 340)]
+    [300, 680, 3000]
 
     """
     slowed_ms = _BEAT_MS * gateways // _FULL_PACE_GATEWAYS
@@ -135,10 +135,10 @@
         self.is_listed = False
         self.own_version = 0
         self.name = name
-        self.loads = LoadSums()
+        self.loads = LoadTotals()
         self._clock = clock
         self._peers: dict[str, Peer] = {}
-        self._counted: Census | None = None
+        self._counted: PeerSummary | None = None
 
     @property
     def count(self) -> int:
@@ -146,9 +146,9 @@
         return self._census.alive + 1
 
     @property
-    def beat_ms(self) -> int:
+    def heartbeat_interval_ms(self) -> int:
         """How long after one heartbeat the next is due, if none is urgent."""
-        return give_beat_ms(self.count)
+        return compute_heartbeat_interval_ms(self.count)
 
     @property
     def stretch(self) -> float:
@@ -323,14 +323,14 @@
                 )
 
     @property
-    def _census(self) -> Census:
+    def _census(self) -> PeerSummary:
         """Who is there, counted a moment ago at the most."""
         now_ms = self._clock.now()
         if self._counted is None or now_ms >= self._counted.at_ms + _COUNTED_MS:
             self._counted = self._count(now_ms)
         return self._counted
 
-    def _count(self, now_ms: int) -> Census:
+    def _count(self, now_ms: int) -> PeerSummary:
         oldest_ms = now_ms - _FORGET_MS
         alive = [
             peer
@@ -338,13 +338,15 @@
             if max(peer.seen_ms, peer.unread_ms) >= oldest_ms
             and not peer.is_gone
         ]
-        silent_ms = _SILENT_BEATS * give_beat_ms(len(alive) + 1)
+        silent_ms = _SILENT_BEATS * compute_heartbeat_interval_ms(
+            len(alive) + 1
+        )
         heard = [
             peer.heartbeat
             for peer in alive
             if peer.heartbeat is not None and peer.seen_ms >= now_ms - silent_ms
         ]
-        return Census(
+        return PeerSummary(
             now_ms,
             len(alive),
             len(heard),
@@ -370,10 +372,10 @@
         if peer.heartbeat is None:
             return True
         silent_ms = self._clock.now() - peer.seen_ms
-        return silent_ms > _SILENT_BEATS * self.beat_ms
+        return silent_ms > _SILENT_BEATS * self.heartbeat_interval_ms
 
 
 def _is_before(told: Heartbeat, name: str) -> bool:
     if told.is_stopping or told.is_cut:
         return False
-    return key_of(told.name) < key_of(name)
+    return hash_name(told.name) < hash_name(name)
--- a/seampond/sharing/quotas.py
+++ b/seampond/sharing/quotas.py
@@ -6,12 +6,12 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.forwarding.models import Tenant
-from seampond.sharing.bucket import Bucket, Margin
+from seampond.sharing.bucket import Bucket, QuotaMargin
 from seampond.sharing.fairness import Fairness
+from seampond.sharing.grant_window import GrantWindow
+from seampond.sharing.hashing import hash_name
 from seampond.sharing.heartbeats import Heartbeat
-from seampond.sharing.keys import key_of
 from seampond.sharing.peers import Peers
-from seampond.sharing.window import GivenWindow
 
 # How far below zero the level may be for a request to be let in, and after.
 _BELOW_PART = 0.1
@@ -49,7 +49,7 @@
 
     Parameters
     ----------
-    margin : Margin
+    margin : QuotaMargin
         What all gateways together may give beyond a tenant's quota.
     note_urgent : Callable[[], None]
         Called where the others should hear of us at once.
@@ -59,7 +59,7 @@
     def __init__(
         self,
         peers: Peers,
-        margin: Margin,
+        margin: QuotaMargin,
         clock: Clock,
         note_urgent: Callable[[], None],
         rng: random.Random,
@@ -134,7 +134,7 @@
 
     def refund(self, tenant: Tenant, units: float) -> None:
         """Give units back for a request that was not run."""
-        bucket = self._buckets.get(key_of(tenant.name))
+        bucket = self._buckets.get(hash_name(tenant.name))
         if bucket is not None:
             bucket.spend(self._clock.now(), -units)
 
@@ -193,7 +193,7 @@
         untold = bucket.spent - bucket.told
         most = self.margin.units * _URGENT_PART
         rate = self.margin.give_rate(bucket.tenant)
-        in_a_beat = rate * self._peers.beat_ms / MS_PER_SECOND
+        in_a_beat = rate * self._peers.heartbeat_interval_ms / MS_PER_SECOND
         reserve = self.margin.give_reserve(bucket.tenant)
         if in_a_beat > reserve * _IN_A_BEAT_PART:
             most *= self._peers.few_part
@@ -281,7 +281,7 @@
         return _DEBT_PART if self._knows_levels else _START_DEBT_PART
 
     def _filled(self, tenant: Tenant) -> Bucket:
-        key = key_of(tenant.name)
+        key = hash_name(tenant.name)
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._make_bucket(tenant)
@@ -291,7 +291,7 @@
         return bucket
 
     def _make_bucket(self, tenant: Tenant) -> Bucket:
-        key = key_of(tenant.name)
+        key = hash_name(tenant.name)
         level: float = 0
         filled_ms = self._started_ms
         if self._taught_ms is not None:
@@ -302,7 +302,7 @@
             tenant,
             filled_ms,
             Fairness(self._clock),
-            GivenWindow(self.margin.window_ms),
+            GrantWindow(self.margin.window_ms),
             level,
             level,
             min(0, level),
--- a/seampond/sharing/tests/test_heartbeats.py
+++ b/seampond/sharing/tests/test_heartbeats.py
@@ -6,9 +6,9 @@
 from seampond.errors import ForeignMessageError
 from seampond.rollouts import Report, Stage
 from seampond.rollouts.models import Tally, TallyKey
-from seampond.sharing import Heartbeat, Load, ToldPage, key_of
+from seampond.sharing import Heartbeat, Load, RelayedPage, hash_name
 from seampond.sharing.heartbeats import _schema, decode, encode
-from seampond.watches import Proof, Row
+from seampond.watches import FreshnessProof, Row
 
 _BYTES_MAX = 450
 _DATAGRAM_BYTES = 65_000
@@ -21,19 +21,22 @@
         2**47 + 12345,
         777,
         12,
-        {key_of(f't{number}'): 900_000 + number for number in range(tenants)},
+        {
+            hash_name(f't{number}'): 900_000 + number
+            for number in range(tenants)
+        },
         uptime_ms=45_000,
         loads={
-            key_of(f'i-{number}'): Load(number % 5 + 1, number * 997)
+            hash_name(f'i-{number}'): Load(number % 5 + 1, number * 997)
             for number in range(servers)
         },
-        proofs={key_of('op'): Proof(1_234_567, 99_999_999)},
+        proofs={hash_name('op'): FreshnessProof(1_234_567, 99_999_999)},
     )
 
 
 def build_levels() -> dict[int, int]:
     """Give levels of a bucket and of a debt."""
-    return {key_of('t1'): 90_000, key_of('t2'): -77_000}
+    return {hash_name('t1'): 90_000, hash_name('t2'): -77_000}
 
 
 class HeartbeatTest(unittest.TestCase):
@@ -47,14 +50,14 @@
     def test_pages_of_the_store(self) -> None:
         """Rows that changed, and one that went."""
         rows = (Row('i-1', b'{"a": 1}', 41), Row('i-2', b'', 42, is_gone=True))
-        page = ToldPage(key_of('servers'), 40, 43, 123_456, rows)
+        page = RelayedPage(hash_name('servers'), 40, 43, 123_456, rows)
         heartbeat = Heartbeat('g', 1, 1, is_cut=True, pages=(page,))
         self.assertEqual(decode(encode(heartbeat)), heartbeat)
 
     def test_reports_of_roll_outs(self) -> None:
         """Stage, open work and counts; a stage of a later program is none."""
         tallies = {TallyKey(7, is_new=True): Tally(40, 3)}
-        report = Report(key_of('llm'), 12, Stage.closed, 2, tallies)
+        report = Report(hash_name('llm'), 12, Stage.closed, 2, tallies)
         heartbeat = Heartbeat('g', 1, 1, rollouts=(report,))
         self.assertEqual(decode(encode(heartbeat)), heartbeat)
         message = _schema().Heartbeat.new_message(name='g')
@@ -65,10 +68,12 @@
     def test_most_counts_fit_into_a_datagram(self) -> None:
         """As many routes as are told apart, beside all loads."""
         tallies = {
-            TallyKey(key_of(f'r{number}'), is_new=bool(number % 2)): Tally(9, 1)
+            TallyKey(hash_name(f'r{number}'), is_new=bool(number % 2)): Tally(
+                9, 1
+            )
             for number in range(520)
         }
-        report = Report(key_of('llm'), 12, Stage.trial, 0, tallies)
+        report = Report(hash_name('llm'), 12, Stage.trial, 0, tallies)
         heartbeat = replace(build_heartbeat(60, 300), rollouts=(report,))
         self.assertLess(len(encode(heartbeat)), _DATAGRAM_BYTES)
 
--- a/seampond/sharing/tests/test_quotas.py
+++ b/seampond/sharing/tests/test_quotas.py
@@ -5,7 +5,7 @@
 
 from seampond.clock import ManualClock
 from seampond.forwarding.models import Tenant
-from seampond.sharing import Heartbeat, Margin, Peers, Quotas, key_of
+from seampond.sharing import Heartbeat, Peers, QuotaMargin, Quotas, hash_name
 
 _RATE = 1000.0
 _BURST = 1000.0
@@ -25,7 +25,7 @@
     def __init__(self, count: int, slack: float = 0) -> None:
         """Start them, each knowing the others."""
         self.clock = ManualClock()
-        self.margin = Margin(0.1, slack)
+        self.margin = QuotaMargin(0.1, slack)
         self.names = [f'g{number}' for number in range(count)]
         self.peers: dict[str, Peers] = {}
         self.quotas: dict[str, Quotas] = {}
@@ -401,7 +401,7 @@
     def test_a_few_follow_the_store(self) -> None:
         """The first by key that reach it; who is cut is no reader."""
         clock = ManualClock()
-        names = sorted((f'g{number}' for number in range(12)), key=key_of)
+        names = sorted((f'g{number}' for number in range(12)), key=hash_name)
         peers = Peers(names[5], clock)
         peers.take_rows((name, 'x:1') for name in names)
         self.assertTrue(peers.follows)
--- a/seampond/sharing/tests/test_exchange.py
+++ b/seampond/sharing/tests/test_transport.py
@@ -5,7 +5,7 @@
 
 from seampond.clock import ManualClock
 from seampond.sharing import Peers
-from seampond.sharing.exchange import take_gateways
+from seampond.sharing.transport import apply_gateway_rows
 from seampond.watches import Page, Row
 
 
@@ -22,16 +22,18 @@
     def setUp(self) -> None:
         """Know two gateways."""
         self.peers = Peers('g0', ManualClock())
-        take_gateways(self.peers, build_page('g0', 'g1', 'g2', is_whole=True))
+        apply_gateway_rows(
+            self.peers, build_page('g0', 'g1', 'g2', is_whole=True)
+        )
         self.assertEqual(self.peers.count, 3)
 
     def test_who_is_not_in_a_whole_read_is_gone(self) -> None:
         """Its removal was among the changes that were missed."""
-        take_gateways(self.peers, build_page('g0', 'g2', is_whole=True))
+        apply_gateway_rows(self.peers, build_page('g0', 'g2', is_whole=True))
         self.assertEqual(self.peers.count, 2)
         self.assertEqual(self.peers.address_of('g1'), '')
 
     def test_who_is_not_among_changes_stays(self) -> None:
         """Nothing was said of it."""
-        take_gateways(self.peers, build_page('g3', is_whole=False))
+        apply_gateway_rows(self.peers, build_page('g3', is_whole=False))
         self.assertEqual(self.peers.count, 4)
--- a/seampond/sharing/exchange.py
+++ b/seampond/sharing/transport.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Sharing:
+class TransportContext:
     """What exchanging heartbeats needs.
 
     Parameters
@@ -79,7 +79,7 @@
 class _Endpoint(asyncio.DatagramProtocol):
     """Where heartbeats come in and go out."""
 
-    def __init__(self, sharing: Sharing) -> None:
+    def __init__(self, sharing: TransportContext) -> None:
         self._sharing = sharing
         self._sequence = 0
         self._transport: asyncio.DatagramTransport | None = None
@@ -170,7 +170,7 @@
             self._transport.sendto(packet, (host, int(port)))
 
 
-def take_gateways(peers: Peers, page: Page) -> None:
+def apply_gateway_rows(peers: Peers, page: Page) -> None:
     """Take the rows of the gateways' table."""
     latest = {row.key: row for row in page.rows}
     listed: dict[str, str] = {}
@@ -227,22 +227,26 @@
             await writer.remove(peers.name, peers.own_version)
 
 
-async def _send_heartbeats(sharing: Sharing, endpoint: _Endpoint) -> None:
+async def _send_heartbeats(
+    sharing: TransportContext, endpoint: _Endpoint
+) -> None:
     while True:
         endpoint.tell_all()
         sharing.peers.note_silence()
-        beat_ms = sharing.peers.beat_ms
-        least_ms = beat_ms * _LEAST_PART
+        heartbeat_interval_ms = sharing.peers.heartbeat_interval_ms
+        least_ms = heartbeat_interval_ms * _LEAST_PART
         await sharing.clock.sleep(least_ms)
         with suppress(TimeoutError):
-            async with asyncio.timeout((beat_ms - least_ms) / MS_PER_SECOND):
+            async with asyncio.timeout(
+                (heartbeat_interval_ms - least_ms) / MS_PER_SECOND
+            ):
                 await sharing.is_urgent.wait()
         sharing.is_urgent.clear()
 
 
 @asynccontextmanager
 async def share(
-    address: str, sharing: Sharing
+    address: str, sharing: TransportContext
 ) -> AsyncIterator[Callable[[str, Ask | Reply], None]]:
     """Exchange heartbeats until the end of the `with`.
 
--- a/seampond/slopes/gateway_fleet.py
+++ b/seampond/slopes/gateway_fleet.py
@@ -28,7 +28,12 @@
     put_configuration,
     put_server,
 )
-from seampond.sharing import Heartbeat, Load, give_beat_ms, key_of
+from seampond.sharing import (
+    Heartbeat,
+    Load,
+    compute_heartbeat_interval_ms,
+    hash_name,
+)
 from seampond.sharing.heartbeats import encode
 from seampond.testing.scripted import Received, run_scripted, write_answer
 from seampond.testing.store import StandInStore, run_store
@@ -62,11 +67,12 @@
         sequence,
         1,
         {
-            key_of(f't{number}'): float(sequence * (number + 1))
+            hash_name(f't{number}'): float(sequence * (number + 1))
             for number in range(sizes.workspaces)
         },
-        uptime_ms=_UPTIME_MS + sequence * give_beat_ms(sizes.gateways),
-        loads={key_of(f'i-{server}'): Load(2, _UNREAD) for server in told},
+        uptime_ms=_UPTIME_MS
+        + sequence * compute_heartbeat_interval_ms(sizes.gateways),
+        loads={hash_name(f'i-{server}'): Load(2, _UNREAD) for server in told},
     )
 
 
@@ -92,8 +98,8 @@
     transport, _ = await loop.create_datagram_endpoint(
         asyncio.DatagramProtocol, remote_addr=('127.0.0.1', port)
     )
-    beat_ms = give_beat_ms(sizes.gateways)
-    pause = beat_ms / MS_PER_SECOND / max(1, sizes.gateways - 1)
+    heartbeat_interval_ms = compute_heartbeat_interval_ms(sizes.gateways)
+    pause = heartbeat_interval_ms / MS_PER_SECOND / max(1, sizes.gateways - 1)
     sequence = 0
     try:
         while True:
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -25,9 +25,9 @@
 from seampond.quarantine.quarantine import Quarantine
 from seampond.quarantine.suspects import Suspects
 from seampond.quarantine.trials import Trials
-from seampond.sharing import key_of
+from seampond.sharing import hash_name
 from seampond.testing.builders import build_promises
-from seampond.watches import StoreTime
+from seampond.watches import StoreClock
 
 POOL = 'llm'
 ZONE = 'a'
@@ -150,8 +150,8 @@
     clock = clock or Clock()
     return Quarantine(
         Suspects(clock),
-        Trials(StoreTime(), clock),
-        key_of,
+        Trials(StoreClock(), clock),
+        hash_name,
         lambda: None,
         lambda leave: None,
         clock,
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -17,7 +17,7 @@
 from seampond.forwarding.server_signals import ServerSignals
 from seampond.permits.desk import Desk
 from seampond.permits.messages import Ask, Reply, encode_permit
-from seampond.sharing import Heartbeat, Peers, key_of
+from seampond.sharing import Heartbeat, Peers, hash_name
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import NAMES, ZONE, build_job, build_server
 
@@ -125,7 +125,9 @@
         self.peers = Peers(name, fleet.clock)
         self.peers.take_rows([(one, 'x:1') for one in fleet.names])
         self.is_urgent = asyncio.Event()
-        self.backends = Backends(fleet.clock, NAMES.request_id, key_of=key_of)
+        self.backends = Backends(
+            fleet.clock, NAMES.request_id, hash_name=hash_name
+        )
         self.desk = Desk(
             self.peers,
             fleet.clock,
@@ -161,10 +163,12 @@
         while self.is_up:
             self._tell_all()
             self.peers.note_silence()
-            least_ms = self.peers.beat_ms * _LEAST_BEAT_PART
+            least_ms = self.peers.heartbeat_interval_ms * _LEAST_BEAT_PART
             await clock.sleep(least_ms)
             with suppress(TimeoutError):
-                seconds = (self.peers.beat_ms - least_ms) / MS_PER_SECOND
+                seconds = (
+                    self.peers.heartbeat_interval_ms - least_ms
+                ) / MS_PER_SECOND
                 async with asyncio.timeout(seconds):
                     await self.is_urgent.wait()
             self.is_urgent.clear()
--- a/seampond/watches/__init__.py
+++ b/seampond/watches/__init__.py
@@ -1,7 +1,7 @@
 """Tables of the store, read once and followed from there."""
 
-from seampond.watches.currency import Currency as Currency
-from seampond.watches.currency import Proof as Proof
+from seampond.watches.freshness import FreshnessProof as FreshnessProof
+from seampond.watches.freshness import TableFreshness as TableFreshness
 from seampond.watches.probe import keep_current as keep_current
 from seampond.watches.rows import HistoryGoneError as HistoryGoneError
 from seampond.watches.rows import Page as Page
@@ -10,5 +10,5 @@
 from seampond.watches.rows import era_of as era_of
 from seampond.watches.rows import make_version as make_version
 from seampond.watches.rows import number_of as number_of
-from seampond.watches.store_time import StoreTime as StoreTime
+from seampond.watches.store_clock import StoreClock as StoreClock
 from seampond.watches.watch import Watch as Watch
--- a/seampond/watches/currency.py
+++ b/seampond/watches/freshness.py
@@ -8,7 +8,7 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.watches.rows import Page, era_of
-from seampond.watches.store_time import StoreTime
+from seampond.watches.store_clock import StoreClock
 
 # Four gateways follow the store and tell a proof with each heartbeat, 13 a
 # second at their usual pace: these are of the last two seconds.
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
+class FreshnessProof:
     """What was known of a table at one moment of the store.
 
     Parameters
@@ -32,7 +32,7 @@
     store_ms: int
 
 
-class Currency:
+class TableFreshness:
     """Since when nothing has proved that we hold all of a table's changes.
 
     Explanation
@@ -52,12 +52,12 @@
     Examples
     --------
     >>> clock = Clock(lambda: 600)
-    >>> currency = Currency(clock, StoreTime(), lambda proved_ms: None)
+    >>> currency = TableFreshness(clock, StoreClock(), lambda proved_ms: None)
     >>> page = Page((), 7, 5000, 500, 500, False)
     >>> currency.check(page)
     >>> currency.take(page)
     True
-    >>> currency.take_proof(Proof(changed=6, store_ms=5040))
+    >>> currency.take_proof(FreshnessProof(changed=6, store_ms=5040))
     >>> currency.proved_ms
     540
 
@@ -66,12 +66,12 @@
     def __init__(
         self,
         clock: Clock,
-        store_time: StoreTime,
+        store_time: StoreClock,
         on_proof: Callable[[int], None],
     ) -> None:
         """Start with nothing held."""
         self.version = 0
-        self.proof: Proof | None = None
+        self.proof: FreshnessProof | None = None
         self.proved_ms = 0
         # When there was last something to tell others.
         self.told_ms = 0
@@ -84,7 +84,7 @@
         self._missing_ms = 0
         self._is_missing = asyncio.Event()
         # Proofs of changes that we did not hold yet, the latest last.
-        self._early: deque[Proof] = deque(maxlen=_HELD_PROOFS)
+        self._early: deque[FreshnessProof] = deque(maxlen=_HELD_PROOFS)
 
     @property
     def is_missing(self) -> bool:
@@ -129,12 +129,12 @@
             self._is_missing.clear()
         # A whole read may be some seconds behind; a change feed is not.
         if not page.is_whole:
-            self._prove(Proof(self._changed, page.store_ms))
+            self._prove(FreshnessProof(self._changed, page.store_ms))
             return True
         self._note_change()
         return self._take_early()
 
-    def take_proof(self, proof: Proof) -> None:
+    def take_proof(self, proof: FreshnessProof) -> None:
         """Take what another process knows."""
         if not self.version:
             return
@@ -185,7 +185,7 @@
         not newer than this change, and who lacks it has to ask.
         """
         if self.proof is not None and self.proof.changed < self._changed:
-            self.proof = Proof(self._changed, self.proof.store_ms)
+            self.proof = FreshnessProof(self._changed, self.proof.store_ms)
             self.told_ms = self._clock.now()
 
     def _take_early(self) -> bool:
@@ -202,7 +202,7 @@
             self.take_proof(proof)
         return bool(held)
 
-    def _prove(self, proof: Proof) -> None:
+    def _prove(self, proof: FreshnessProof) -> None:
         if self.proof is not None and proof.store_ms <= self.proof.store_ms:
             return
         self.proof = proof
--- a/seampond/watches/store_time.py
+++ b/seampond/watches/store_clock.py
@@ -6,7 +6,7 @@
 from seampond.watches.rows import Page
 
 
-class StoreTime:
+class StoreClock:
     """Sets the store's steady clock against ours.
 
     Explanation
@@ -17,7 +17,7 @@
 
     Examples
     --------
-    >>> time = StoreTime()
+    >>> time = StoreClock()
     >>> time.take(Page((), 1, 5010, 10, 14, False))
     >>> time.take(Page((), 1, 7000, 500, 2003, False))
     >>> time.local_ms(7000)
@@ -55,7 +55,7 @@
 
         Examples
         --------
-        >>> time = StoreTime()
+        >>> time = StoreClock()
         >>> time.take(Page((), 1, 5010, 10, 14, False))
         >>> time.store_ms(20)
         5020
--- a/seampond/watches/tests/test_eras.py
+++ b/seampond/watches/tests/test_eras.py
@@ -3,7 +3,13 @@
 import unittest
 
 from seampond.clock import Clock
-from seampond.watches import Currency, Page, Proof, StoreTime, make_version
+from seampond.watches import (
+    FreshnessProof,
+    Page,
+    StoreClock,
+    TableFreshness,
+    make_version,
+)
 
 _BEFORE = make_version(1, 900)
 _AFTER = make_version(2, 7)
@@ -15,8 +21,8 @@
     def setUp(self) -> None:
         """Hold what the restored store had."""
         self.proved: list[int] = []
-        self.currency = Currency(
-            Clock(lambda: 1000), StoreTime(), self.proved.append
+        self.currency = TableFreshness(
+            Clock(lambda: 1000), StoreClock(), self.proved.append
         )
         page = Page((), _AFTER, 5000, 500, 500, is_whole=True)
         self.currency.check(page)
@@ -24,16 +30,16 @@
 
     def test_a_proof_of_before_proves_nothing(self) -> None:
         """What was the newest change then may be lost."""
-        self.currency.take_proof(Proof(_BEFORE, 5100))
+        self.currency.take_proof(FreshnessProof(_BEFORE, 5100))
         self.assertEqual(self.proved, [])
         self.assertFalse(self.currency.is_missing)
 
     def test_a_proof_of_after_proves(self) -> None:
         """Its number is smaller, and its era is ours."""
-        self.currency.take_proof(Proof(_AFTER, 5100))
+        self.currency.take_proof(FreshnessProof(_AFTER, 5100))
         self.assertEqual(len(self.proved), 1)
 
     def test_a_later_era_is_news(self) -> None:
         """Whatever its number."""
-        self.currency.take_proof(Proof(make_version(3, 1), 5100))
+        self.currency.take_proof(FreshnessProof(make_version(3, 1), 5100))
         self.assertTrue(self.currency.is_missing)
--- a/seampond/watches/tests/test_narrow_links.py
+++ b/seampond/watches/tests/test_narrow_links.py
@@ -13,10 +13,10 @@
 from seampond.testing.narrow_links import Link, LinkedSource, SharedTable
 from seampond.testing.virtual_time import run_virtual
 from seampond.watches import (
-    Currency,
+    FreshnessProof,
     Page,
-    Proof,
-    StoreTime,
+    StoreClock,
+    TableFreshness,
     Watch,
     keep_current,
 )
@@ -61,7 +61,9 @@
     def __post_init__(self) -> None:
         """Wire the watch."""
         clock = self.table.clock
-        self.currency = Currency(clock, StoreTime(), lambda proved_ms: None)
+        self.currency = TableFreshness(
+            clock, StoreClock(), lambda proved_ms: None
+        )
         self.watch = Watch(
             LinkedSource(self.table, self.link),
             LinkedSource(self.table, self.link),
@@ -167,7 +169,7 @@
                 if proof is not None:
                     self._pass_on(process, proof)
 
-    def _pass_on(self, process: Process, proof: Proof) -> None:
+    def _pass_on(self, process: Process, proof: FreshnessProof) -> None:
         for other in self.processes:
             if other is not process and self.rng.randrange(_ONE_LOST_OF):
                 other.currency.take_proof(proof)
--- a/seampond/watches/tests/test_watch.py
+++ b/seampond/watches/tests/test_watch.py
@@ -7,12 +7,12 @@
 from seampond.clock import Clock, ManualClock
 from seampond.errors import CutAnswerError, PlatformError
 from seampond.watches import (
-    Currency,
+    FreshnessProof,
     HistoryGoneError,
     Page,
-    Proof,
     Row,
-    StoreTime,
+    StoreClock,
+    TableFreshness,
     Watch,
     keep_current,
 )
@@ -60,9 +60,11 @@
         return answer
 
 
-def build_currency(clock: Clock | None = None) -> Currency:
+def build_currency(clock: Clock | None = None) -> TableFreshness:
     """Give a currency that tells nobody."""
-    return Currency(clock or Clock(), StoreTime(), lambda proved_ms: None)
+    return TableFreshness(
+        clock or Clock(), StoreClock(), lambda proved_ms: None
+    )
 
 
 def build_watch(
@@ -82,7 +84,7 @@
     return Watch(source, probes, **(content | changes))
 
 
-def hold(currency: Currency, page: Page) -> None:
+def hold(currency: TableFreshness, page: Page) -> None:
     """Let a belief be as current as an answer says."""
     currency.check(page)
     currency.take(page)
@@ -124,7 +126,7 @@
         await asyncio.Event().wait()
 
 
-class NotedCurrency(Currency):
+class RecordingFreshness(TableFreshness):
     """A currency that notes how long is waited for a change."""
 
     def __init__(self, *words: Any) -> None:
@@ -221,7 +223,7 @@
         async with asyncio.timeout(5):
             await source.is_over.wait()
         self.assertEqual(told, [(3, 3), (3, 5)])
-        watch.currency.take_proof(Proof(8, 1))
+        watch.currency.take_proof(FreshnessProof(8, 1))
         self.assertTrue(await watch.probe())
         self.assertEqual(told, [(3, 3), (3, 5)])
 
@@ -354,7 +356,7 @@
 
     async def test_answer_to_an_earlier_call_is_refused(self) -> None:
         """An answer that is older than its call proves nothing."""
-        time = StoreTime()
+        time = StoreClock()
         time.take(Page((), 1, 50_000, 1000, 1002, False))
         with self.assertRaises(PlatformError):
             time.take(Page((), 1, 51_000, 9000, 9002, False))
@@ -372,7 +374,7 @@
         async with asyncio.timeout(5):
             while len(source.calls) < 3:
                 await asyncio.sleep(0)
-            currency.take_proof(Proof(9, 1))
+            currency.take_proof(FreshnessProof(9, 1))
             clock.advance(spell_ms)
             await source.is_over.wait()
         return source.calls[3]
@@ -383,7 +385,9 @@
         source = ListedSource(_page(3, is_whole=True), _page(3), *failures)
         clock = NotedClock()
         clock.__dict__['now'] = lambda: 10_000
-        currency = NotedCurrency(clock, StoreTime(), lambda proved_ms: None)
+        currency = RecordingFreshness(
+            clock, StoreClock(), lambda proved_ms: None
+        )
         watch = build_watch(
             source, clock=clock, currency=currency, pause_ms=200, **changes
         )
@@ -469,7 +473,7 @@
                 keys = map(str, range(rows))
                 self.feed = ListedSource(_page(3, *keys, is_whole=True))
                 watch = await self._start(_page(9, is_whole=True))
-                watch.currency.take_proof(Proof(changed=8, store_ms=0))
+                watch.currency.take_proof(FreshnessProof(changed=8, store_ms=0))
                 self.assertTrue(await watch.probe())
                 self.assertEqual(self.probes.calls, [call])
 
@@ -496,7 +500,7 @@
         """Long before a proof is too old."""
         watch = await self._start(_page(9, 'a'))
         self._keep(watch, 60_000)
-        watch.currency.take_proof(Proof(changed=8, store_ms=0))
+        watch.currency.take_proof(FreshnessProof(changed=8, store_ms=0))
         async with asyncio.timeout(5):
             while self.taken[-1] != 9:
                 await asyncio.sleep(0.01)
@@ -508,7 +512,7 @@
         row = Row('a', b'', 6)
         hold(late, Page((row,), 6, 1000, 1000, 1000, is_whole=False))
         hold(reader, Page((row,), 9, 1000, 1000, 1000, is_whole=True))
-        reader.take_proof(Proof(changed=8, store_ms=1100))
+        reader.take_proof(FreshnessProof(changed=8, store_ms=1100))
         clock.advance(500)
         hold(reader, Page((), 9, 1500, 1500, 1500, False))
         assert reader.proof is not None
@@ -521,7 +525,7 @@
         currency = build_currency(clock)
         hold(currency, Page((), 5, 1000, 1000, 1000, False))
         clock.advance(1400)
-        currency.take_proof(Proof(changed=5, store_ms=2300))
+        currency.take_proof(FreshnessProof(changed=5, store_ms=2300))
         self.assertEqual(currency.due_ms(1500, 400), 2300 + 1500)
 
     async def _start(self, *probed: Page | Exception) -> Watch:
@@ -544,7 +548,7 @@
         self.addCleanup(task.cancel)
 
 
-class CurrencyTest(unittest.TestCase):
+class TableFreshnessTest(unittest.TestCase):
     """What proves that a belief is current, and what does not."""
 
     def setUp(self) -> None:
@@ -555,18 +559,18 @@
 
     def test_proof_of_a_change_that_we_lack_is_none(self) -> None:
         """Somebody has seen more: we may be wrong since then."""
-        self.currency.take_proof(Proof(changed=6, store_ms=1900))
+        self.currency.take_proof(FreshnessProof(changed=6, store_ms=1900))
         self.assertEqual(self.currency.proved_ms, 1000)
         self.assertEqual(self.currency.due_ms(60_000, 400), 1000 + 400)
 
     def test_change_that_has_come_is_missing_no_more(self) -> None:
         """Our own feed was only a little late."""
-        self.currency.take_proof(Proof(changed=6, store_ms=1900))
+        self.currency.take_proof(FreshnessProof(changed=6, store_ms=1900))
         self.clock.advance(1000)
         row = Row('a', b'', 6)
         hold(self.currency, Page((row,), 6, 2000, 2000, 2000, False))
         self.assertEqual(self.currency.due_ms(60_000, 400), 2000 + 60_000)
-        self.assertEqual(self.currency.proof, Proof(6, 2000))
+        self.assertEqual(self.currency.proof, FreshnessProof(6, 2000))
 
     def test_whole_read_proves_nothing(self) -> None:
         """It may be some seconds behind."""
@@ -579,8 +583,8 @@
         Each proof named a later version than the one that had just come, so
         nothing proved what was held while large versions kept coming.
         """
-        self.currency.take_proof(Proof(changed=6, store_ms=1500))
-        self.currency.take_proof(Proof(changed=7, store_ms=1900))
+        self.currency.take_proof(FreshnessProof(changed=6, store_ms=1500))
+        self.currency.take_proof(FreshnessProof(changed=7, store_ms=1900))
         row = Row('a', b'', 6)
         whole = Page((row,), 6, 2000, 2000, 2000, is_whole=True)
         self.clock.advance(1000)
@@ -593,14 +597,14 @@
         """Who lacks it has to ask, though no later moment is proved."""
         row = Row('a', b'', 9)
         hold(self.currency, Page((row,), 9, 1900, 1900, 1900, is_whole=True))
-        self.assertEqual(self.currency.proof, Proof(9, 1000))
+        self.assertEqual(self.currency.proof, FreshnessProof(9, 1000))
         other = build_currency(self.clock)
         hold(other, Page((), 8, 1000, 1000, 1000, is_whole=False))
-        other.take_proof(Proof(9, 1000))
+        other.take_proof(FreshnessProof(9, 1000))
         self.assertTrue(other.is_missing)
 
     def test_overtaken_proof_changes_nothing(self) -> None:
         """Datagrams may overtake one another."""
-        self.currency.take_proof(Proof(changed=5, store_ms=1800))
-        self.currency.take_proof(Proof(changed=5, store_ms=1200))
+        self.currency.take_proof(FreshnessProof(changed=5, store_ms=1800))
+        self.currency.take_proof(FreshnessProof(changed=5, store_ms=1200))
         self.assertEqual(self.currency.proved_ms, 1800)
--- a/seampond/watches/watch.py
+++ b/seampond/watches/watch.py
@@ -8,8 +8,8 @@
 
 from seampond.clock import Clock
 from seampond.errors import CutAnswerError, PlatformError
-from seampond.watches.currency import Currency
 from seampond.watches.failures import FailureLog
+from seampond.watches.freshness import TableFreshness
 from seampond.watches.rows import HistoryGoneError, Page, TableSource, number_of
 
 _FIRST_PAUSE_MS = 100
@@ -65,7 +65,7 @@
         How long the store holds a call while nothing changes.
     count_failure : Callable[[str], None]
         Counts a failed call by its step.
-    currency : Currency
+    currency : TableFreshness
         What is held, and since when that is proved.
     pause_ms : int
         The longest pause between two calls that fail.
@@ -91,7 +91,7 @@
     wait_ms: int
     clock: Clock
     count_failure: Callable[[str], None]
-    currency: Currency
+    currency: TableFreshness
     pause_ms: int = 600
     pace_ms: int = 0
     stretch: Callable[[], float] = _not_longer
