--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -42,7 +42,7 @@
     Mechanism(
         'second turn first',
         'forwarding/queues.py',
-        'not job.is_repeat,',
+        'not job.is_retry,',
         'False,',
     ),
     Mechanism(
--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Belief:
+class ConfigurationState:
     """The configuration in force, and when it was last proved the newest.
 
     Parameters
@@ -109,7 +109,7 @@
     charge : Charge
         Charges a quota for work of an urgency; gives the wait in
         milliseconds where it is used up.
-    has_room : Callable[[str], bool]
+    has_spare_capacity : Callable[[str], bool]
         Tells whether the servers of a pool have places that nobody waits for.
     refund : Callable[[Tenant, float], None]
         Takes a charge back.
@@ -118,13 +118,13 @@
 
     def __init__(
         self,
-        belief: Belief,
+        belief: ConfigurationState,
         names: HeaderNames,
         clock: Clock,
         proof_ms: int | None,
         charge: Charge,
         refund: Callable[[Tenant, float], None],
-        has_room: Callable[[str], bool],
+        has_spare_capacity: Callable[[str], bool],
     ) -> None:
         """Keep the parts."""
         self._belief = belief
@@ -133,7 +133,7 @@
         self.proof_ms = proof_ms
         self._charge = charge
         self._refund = refund
-        self._has_room = has_room
+        self._has_spare_capacity = has_spare_capacity
         self._rng = random.Random()
         # By route, the longest that a caller was ready to wait.
         self._longest: dict[str, int] = {}
@@ -285,7 +285,7 @@
             end_ms=arrival.arrived_ms + held_ms,
             prompt=prompt,
             last_event=arrival.get(names.last_event),
-            is_repeat=self._is_repeat(route, patience_ms),
+            is_retry=self._is_retry(route, patience_ms),
             fingerprint=fingerprint(
                 arrival.method,
                 arrival.get(b'host').lower(),
@@ -295,7 +295,7 @@
             ),
         )
 
-    def _is_repeat(self, route: Route, patience_ms: int) -> bool:
+    def _is_retry(self, route: Route, patience_ms: int) -> bool:
         """Tell whether a caller has used up a part of its time already.
 
         Explanation
@@ -318,7 +318,7 @@
         # Where no tokens are named, little is asked: no reason to put it off.
         rank = job.route.priority if job.prompt.total else 0
         wait_ms = self._charge(
-            tenant, units, rank, is_spare=self._has_room(job.pool)
+            tenant, units, rank, is_spare=self._has_spare_capacity(job.pool)
         )
         if wait_ms:
             raise Refusal(Cause.over_quota, step=_STEP, retry_after_ms=wait_ms)
--- a/seampond/forwarding/openings.py
+++ b/seampond/forwarding/availability.py
@@ -6,10 +6,10 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.job import Job
-from seampond.forwarding.limit import Permit
 from seampond.forwarding.permits import NO_PERMITS, Permits
 from seampond.forwarding.queues import Queue, Waiter
-from seampond.forwarding.returning import LATEST_MS
+from seampond.forwarding.retry_times import LATEST_MS
+from seampond.forwarding.server_limit import Permit
 
 # What a request leaves to more urgent ones of its time to wait, for each part
 # of a server's places that it leaves free: in the order of asking, those that
@@ -19,7 +19,7 @@
 _RESERVE_TRIES = 2
 
 
-class Openings:
+class Availability:
     """When the servers of a pool open that are closed to us.
 
     Attributes
@@ -35,28 +35,28 @@
         self._clock = clock
         self._rng = rng
 
-    def is_open(self, backend: Backend, *, for_return: bool) -> bool:
+    def is_available(self, backend: Backend, *, for_retry: bool) -> bool:
         """Whether a server takes a request that has a place there now."""
         if not backend.signals.limit.is_named:
             return True
-        if self.permits.may_send(backend, for_return=for_return):
+        if self.permits.may_send(backend, for_retry=for_retry):
             return True
-        self.permits.find_out(backend)
+        self.permits.probe_limit(backend)
         return False
 
     def take(self, backend: Backend, job: Job) -> Permit | None:
         """Take up a permit, where a server names a limit."""
         if backend.signals.limit.is_named:
-            return self.permits.take(backend, for_return=job.is_repeat)
+            return self.permits.take(backend, for_retry=job.is_retry)
         return None
 
-    def opens_ms(self, backend: Backend, *, for_return: bool = False) -> int:
+    def available_ms(self, backend: Backend, *, for_retry: bool = False) -> int:
         """Give when a server opens that rests or names a limit."""
-        opens_ms = backend.signals.backoff_until_ms
+        available_ms = backend.signals.backoff_until_ms
         if backend.signals.limit.is_named:
-            permit_ms = self.permits.opens_ms(backend, for_return=for_return)
-            opens_ms = max(opens_ms, permit_ms)
-        return opens_ms
+            permit_ms = self.permits.available_ms(backend, for_retry=for_retry)
+            available_ms = max(available_ms, permit_ms)
+        return available_ms
 
     def first_ms(self, known: Iterable[Backend]) -> int | None:
         """Give when the first of some servers opens.
@@ -72,12 +72,12 @@
         for backend in known:
             if backend.is_draining or not backend.may_serve(now_ms):
                 continue
-            if backend.has_room_for_all(now_ms):
+            if backend.may_send_without_permit(now_ms):
                 return None
             closed.append(backend)
         if not closed:
             return None
-        return max(now_ms, min(map(self.opens_ms, closed)))
+        return max(now_ms, min(map(self.available_ms, closed)))
 
     def sum_rates(self, known: Iterable[Backend]) -> float:
         """Give what servers take together by their limits, 0 without any."""
@@ -137,7 +137,7 @@
             best = self._choose(limited, waiter, now_ms + patience_ms)
             if best is not None:
                 self.permits.ask(
-                    best, patience_ms, for_return=waiter.job.is_repeat
+                    best, patience_ms, for_retry=waiter.job.is_retry
                 )
 
     def list_hopeless(
@@ -150,19 +150,21 @@
             for one in known
             if one.may_serve(now_ms) and not one.is_draining
         ]
-        if not serving or any(one.has_room_for_all(now_ms) for one in serving):
+        if not serving or any(
+            one.may_send_without_permit(now_ms) for one in serving
+        ):
             return []
         first_ms = {
-            for_return: min(
-                self.opens_ms(one, for_return=for_return) for one in serving
+            for_retry: min(
+                self.available_ms(one, for_retry=for_retry) for one in serving
             )
-            for for_return in (False, True)
+            for for_retry in (False, True)
         }
         coming = _count_coming(serving, now_ms)
         return [
             waiter
             for waiter in _without(queue.waiters, coming)
-            if first_ms[waiter.job.is_repeat]
+            if first_ms[waiter.job.is_retry]
             > now_ms + self._bear_ms(queue, waiter, now_ms)
         ]
 
@@ -183,11 +185,11 @@
                 continue
             if backend.server.id in waiter.avoid:
                 continue
-            opens_ms = self.permits.opens_ms(
-                backend, for_return=waiter.job.is_repeat
+            available_ms = self.permits.available_ms(
+                backend, for_retry=waiter.job.is_retry
             )
-            drawn = (opens_ms, self._rng.random(), backend)
-            if opens_ms <= latest_ms and (best is None or drawn < best):
+            drawn = (available_ms, self._rng.random(), backend)
+            if available_ms <= latest_ms and (best is None or drawn < best):
                 best = drawn
         return best[2] if best else None
 
@@ -203,5 +205,5 @@
 
 def _without(waiters: Sequence[Waiter], first: int) -> list[Waiter]:
     """Give those that wait, but for the first of them."""
-    waiting = [waiter for waiter in waiters if not waiter.place.done()]
+    waiting = [waiter for waiter in waiters if not waiter.slot.done()]
     return waiting[first:]
--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -126,13 +126,13 @@
             now_ms
         )
 
-    def is_closed(self, now_ms: int) -> bool:
+    def is_restricted(self, now_ms: int) -> bool:
         """Whether a limit or a rest keeps requests from it."""
         return self.signals.limit.is_named or self.signals.is_backing_off(
             now_ms
         )
 
-    def has_room_for_all(self, now_ms: int) -> bool:
+    def may_send_without_permit(self, now_ms: int) -> bool:
         """Whether nothing but its load closes its places."""
         return self.may_send(now_ms) and not self.signals.limit.is_named
 
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -9,8 +9,8 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend, OthersLoad
 from seampond.forwarding.exchange import Connection, open_connection
-from seampond.forwarding.limit import Limit
 from seampond.forwarding.server import Server
+from seampond.forwarding.server_limit import ServerLimit
 from seampond.forwarding.server_signals import ServerSignals
 from seampond.forwarding.signal_state import SignalRegistry
 from seampond.forwarding.speeds import PoolSpeed
@@ -28,14 +28,14 @@
     """Count no words."""
 
 
-def _tell_nobody(key: int, limit: Limit, *, is_other: bool) -> None:
+def _tell_nobody(key: int, limit: ServerLimit, *, is_other: bool) -> None:
     """Tell nobody of a limit."""
 
 
 class LimitCallback(Protocol):
     """Told of what an answer says of a limit."""
 
-    def __call__(self, key: int, limit: Limit, *, is_other: bool) -> None:
+    def __call__(self, key: int, limit: ServerLimit, *, is_other: bool) -> None:
         """Note it, by the key of the life."""
 
 
@@ -203,7 +203,7 @@
 
     def take_limit(
         self, key: int, rate: float | None, said_ms: int
-    ) -> Limit | None:
+    ) -> ServerLimit | None:
         """Take what another gateway has heard of a limit; give what holds.
 
         Parameters
--- a/seampond/forwarding/room.py
+++ b/seampond/forwarding/capacity.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class CapacityLimits:
     """How far a request may fill servers.
 
     Explanation
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -98,7 +98,7 @@
         scheduler = self._parts.scheduler
         while True:
             self._parts.quarantine.check(job)
-            backend = await scheduler.place(job, progress.tried)
+            backend = await scheduler.acquire(job, progress.tried)
             try:
                 outcome = await self._attempt(progress, backend)
             finally:
--- a/seampond/forwarding/job.py
+++ b/seampond/forwarding/job.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from seampond.forwarding.limit import Permit
 from seampond.forwarding.models import Kind, Route, Tenant
+from seampond.forwarding.server_limit import Permit
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -59,7 +59,7 @@
         How long the caller said that it waits, from `arrived_ms`.
     end_ms : int
         When the final answer is due.
-    is_repeat : bool
+    is_retry : bool
         Whether the caller seems to have been turned away before.
     has_begun : bool
         Whether the caller has a part of its stream.
@@ -95,7 +95,7 @@
     charged: float = 0
     attempts: int = 0
     maybe_run: bool = False
-    is_repeat: bool = False
+    is_retry: bool = False
     has_begun: bool = False
     fingerprint: int = 0
     strikes: int = 0
--- a/seampond/forwarding/permits.py
+++ b/seampond/forwarding/permits.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from seampond.forwarding.backend import Backend
-from seampond.forwarding.limit import Permit
+from seampond.forwarding.server_limit import Permit
 
 
 class Permits(Protocol):
@@ -11,25 +11,25 @@
 
     Explanation
     -----------
-    With `for_return` a permit is for a caller that was told to come back: it
+    With `for_retry` a permit is for a caller that was told to come back: it
     may be one of those that were reserved.
     """
 
-    def may_send(self, backend: Backend, *, for_return: bool) -> bool:
+    def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
         """Whether a request may be sent to a server with a limit now."""
 
-    def take(self, backend: Backend, *, for_return: bool) -> Permit | None:
+    def take(self, backend: Backend, *, for_retry: bool) -> Permit | None:
         """Take up a permit to send now."""
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_return: bool
+        self, backend: Backend, patience_ms: int, *, for_retry: bool
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
 
-    def opens_ms(self, backend: Backend, *, for_return: bool) -> int:
+    def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
         """Give the time before which there is no other permit for us."""
 
-    def find_out(self, backend: Backend) -> None:
+    def probe_limit(self, backend: Backend) -> None:
         """Ask now and then, for a request that tells if the limit holds on."""
 
     async def reserve(self, backend: Backend) -> int | None:
@@ -46,24 +46,24 @@
 class NoPermits:
     """Keeps servers with a limit closed."""
 
-    def may_send(self, backend: Backend, *, for_return: bool) -> bool:
+    def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
         """Allow none."""
         return False
 
-    def take(self, backend: Backend, *, for_return: bool) -> Permit | None:
+    def take(self, backend: Backend, *, for_retry: bool) -> Permit | None:
         """Give one that has ended."""
         return Permit(0, 0)
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_return: bool
+        self, backend: Backend, patience_ms: int, *, for_retry: bool
     ) -> None:
         """Ask nobody."""
 
-    def opens_ms(self, backend: Backend, *, for_return: bool) -> int:
+    def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
         """Know of no time."""
         return 0
 
-    def find_out(self, backend: Backend) -> None:
+    def probe_limit(self, backend: Backend) -> None:
         """Ask nobody."""
 
     async def reserve(self, backend: Backend) -> int | None:
--- a/seampond/forwarding/queues.py
+++ b/seampond/forwarding/queues.py
@@ -6,7 +6,7 @@
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.headroom import Headroom
 from seampond.forwarding.job import Job
-from seampond.forwarding.returning import ReturnTimes
+from seampond.forwarding.retry_times import RetrySchedule
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     avoid: set[str]
     due_ms: float
     until_ms: int
-    place: 'asyncio.Future[Backend]'
+    slot: 'asyncio.Future[Backend]'
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    returns : ReturnTimes
+    returns : RetrySchedule
         What those that limits turned away were told.
     next_ms : int or None
         When to look again for a permit, None where none may come.
@@ -46,7 +46,7 @@
 
     headroom: Headroom = field(default_factory=Headroom)
     waiters: list[Waiter] = field(default_factory=list)
-    returns: ReturnTimes = field(default_factory=ReturnTimes)
+    returns: RetrySchedule = field(default_factory=RetrySchedule)
     next_ms: int | None = None
 
     @property
@@ -79,6 +79,6 @@
         job.priority,
         job.route.priority,
         not job.has_begun,
-        not job.is_repeat,
+        not job.is_retry,
         waiter.due_ms,
     )
--- a/seampond/forwarding/returning.py
+++ b/seampond/forwarding/retry_times.py
@@ -24,7 +24,7 @@
 LATEST_MS = 60_000
 
 
-def return_in_time(job: Job, now_ms: int, draw: float) -> int:
+def spread_retry_ms(job: Job, now_ms: int, draw: float) -> int:
     """Give after how many milliseconds a caller should come back.
 
     Parameters
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class ReturnTimes:
+class RetrySchedule:
     """When callers of a pool whose servers all name limits may come back.
 
     Explanation
@@ -62,27 +62,27 @@
     next_ms: int = 0
     rate: float = 0
 
-    def book(self, opens_ms: int, rate: float) -> int:
+    def book(self, available_ms: int, rate: float) -> int:
         """Give a time that no other caller is told.
 
         Parameters
         ----------
-        opens_ms : int
+        available_ms : int
             The first moment at which a request may be sent.
         rate : float
             The requests a second that we may send, more than none.
 
         Examples
         --------
-        >>> times = ReturnTimes()
+        >>> times = RetrySchedule()
         >>> [times.book(1000, 4), times.book(1000, 4), times.book(1200, 4)]
         [1000, 1714, 2428]
 
         """
         if rate != self.rate:
             self.rate = rate
-            self.next_ms = opens_ms
-        booked_ms = max(opens_ms, self.next_ms)
-        booked_ms = min(booked_ms, opens_ms + LATEST_MS)
+            self.next_ms = available_ms
+        booked_ms = max(available_ms, self.next_ms)
+        booked_ms = min(booked_ms, available_ms + LATEST_MS)
         self.next_ms = booked_ms + round(MS_PER_SECOND / (rate * KEPT_PART))
         return booked_ms
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable, Sequence
 
 from seampond.clock import MS_PER_SECOND, Clock
+from seampond.forwarding.availability import Availability
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
+from seampond.forwarding.capacity import CapacityLimits
 from seampond.forwarding.job import Job
-from seampond.forwarding.openings import Openings
 from seampond.forwarding.queues import Queue, Waiter
-from seampond.forwarding.rating import Rate, rate
 from seampond.forwarding.refusals import Cause, Refusal
-from seampond.forwarding.returning import return_in_time
-from seampond.forwarding.room import Room
+from seampond.forwarding.retry_times import spread_retry_ms
+from seampond.forwarding.scoring import Score, score_backend
 from seampond.forwarding.versions import ANY_VERSION, Versions
 from seampond.promises import Promises, Rule
 
@@ -30,7 +30,7 @@
 _LOOKED_AT = 48
 _STEP = 'place'
 
-GiveReturn = Callable[[Job, int, float], int]
+RetryAfterFunction = Callable[[Job, int, float], int]
 
 
 class Scheduler:
@@ -50,13 +50,13 @@
         How many gateways share the servers.
     versions : Versions
         Which versions of the servers' software a request may go to.
-    give_return_ms : GiveReturn
+    give_return_ms : RetryAfterFunction
         After how long who is turned away should come back, by the request,
         the time and a number drawn from 0 to 1.
 
     Attributes
     ----------
-    openings : Openings
+    availability : Availability
         Tells when servers that rest or name a limit take requests.
 
     """
@@ -69,7 +69,7 @@
         count_gateways: Callable[[], int],
         promises: Promises,
         versions: Versions = ANY_VERSION,
-        give_return_ms: GiveReturn = return_in_time,
+        give_return_ms: RetryAfterFunction = spread_retry_ms,
     ) -> None:
         """Start with nobody waiting."""
         self._backends = backends
@@ -81,27 +81,29 @@
         self._give_return_ms = give_return_ms
         self._queues: dict[str, Queue] = {}
         self._rng = random.Random()
-        self.openings = Openings(clock, self._rng)
+        self.availability = Availability(clock, self._rng)
 
     @property
     def waiting(self) -> int:
         """How many requests wait."""
         return sum(len(queue.waiters) for queue in self._queues.values())
 
-    def has_room(self, pool: str) -> bool:
+    def has_spare_capacity(self, pool: str) -> bool:
         """Whether the servers of a pool have places that nobody waits for."""
         queue = self._queues.get(pool)
         if queue is not None and queue.waiters:
             return False
         now_ms = self._clock.now()
         known = [
-            one for one in self._draw(pool) if one.has_room_for_all(now_ms)
+            one
+            for one in self._draw(pool)
+            if one.may_send_without_permit(now_ms)
         ]
         slots = sum(backend.server.slots for backend in known)
         loads = (backend.load(now_ms) for backend in known)
         return sum(loads) < slots * _ROOM_PART
 
-    async def place(self, job: Job, avoid: set[str]) -> Backend:
+    async def acquire(self, job: Job, avoid: set[str]) -> Backend:
         """Wait for a place on a server.
 
         Parameters
@@ -131,9 +133,9 @@
         try:
             return await self._wait(waiter)
         except asyncio.CancelledError:
-            if waiter.place.done() and not waiter.place.cancelled():
-                if waiter.place.exception() is None:
-                    self.release(waiter.place.result())
+            if waiter.slot.done() and not waiter.slot.cancelled():
+                if waiter.slot.exception() is None:
+                    self.release(waiter.slot.result())
             raise
         except Refusal as refusal:
             queue.leave(waiter)
@@ -145,9 +147,9 @@
     def release(self, backend: Backend) -> None:
         """Give a place back and hand it on."""
         backend.note_release()
-        self.hand_out(backend.server.pool)
+        self.assign_slots(backend.server.pool)
 
-    def hand_out(self, pool: str) -> None:
+    def assign_slots(self, pool: str) -> None:
         """Give free places of a pool to those that wait."""
         queue = self._queues.get(pool)
         if queue is None:
@@ -158,19 +160,19 @@
         for waiter in list(queue.waiters):
             if not known:
                 return
-            if waiter.place.done():
+            if waiter.slot.done():
                 continue
             backend = self._find(waiter.job, waiter.avoid, known)
             if backend is not None:
                 queue.waiters.remove(waiter)
-                waiter.place.set_result(self._occupy(backend, waiter.job))
+                waiter.slot.set_result(self._occupy(backend, waiter.job))
 
-    def hand_out_all(self) -> None:
+    def process_queues(self) -> None:
         """Look at every queue again, after the servers have changed."""
         for pool in self._queues:
-            self.look_again(pool)
+            self.process_queue(pool)
 
-    def look_again(self, pool: str) -> None:
+    def process_queue(self, pool: str) -> None:
         """Ask for permits, give free places, end waits that are in vain."""
         queue = self._queues.get(pool)
         if queue is None or not queue.waiters:
@@ -178,16 +180,16 @@
         now_ms = self._clock.now()
         known = self._draw(pool)
         queue.next_ms = None
-        if not any(backend.is_closed(now_ms) for backend in known):
-            self.hand_out(pool)
+        if not any(backend.is_restricted(now_ms) for backend in known):
+            self.assign_slots(pool)
             return
         room = self._measure_room(pool, 0)
-        self.openings.ask(
+        self.availability.ask(
             queue, [one for one in known if room.takes(one, now_ms)]
         )
-        self.hand_out(pool)
-        queue.next_ms = self.openings.next_ms(known)
-        for waiter in self.openings.list_hopeless(queue, known):
+        self.assign_slots(pool)
+        queue.next_ms = self.availability.next_ms(known)
+        for waiter in self.availability.list_hopeless(queue, known):
             self._end_wait(queue, waiter)
 
     async def give_return_ms(self, job: Job) -> int:
@@ -199,8 +201,8 @@
         keeps their buckets does not answer, the time is no more than likely.
         """
         known = self._backends.of_pool(job.pool)
-        if self.openings.first_ms(known) is not None:
-            wait_ms = await self.openings.reserve(known)
+        if self.availability.first_ms(known) is not None:
+            wait_ms = await self.availability.reserve(known)
             if wait_ms is not None:
                 return wait_ms
         return self.retry_after_ms(job)
@@ -217,19 +219,21 @@
         """
         now_ms, draw = self._clock.now(), self._rng.random()
         known = self._backends.of_pool(job.pool)
-        opens_ms = self.openings.first_ms(known)
-        if opens_ms is None:
+        available_ms = self.availability.first_ms(known)
+        if available_ms is None:
             return self._give_return_ms(job, now_ms, draw)
-        rate = self.openings.sum_rates(known) / max(1, self._count_gateways())
+        rate = self.availability.sum_rates(known) / max(
+            1, self._count_gateways()
+        )
         if rate:
             queue = self._queues.setdefault(job.pool, Queue())
-            later_ms = queue.returns.book(opens_ms, rate) - now_ms
+            later_ms = queue.returns.book(available_ms, rate) - now_ms
         else:
-            later_ms = opens_ms - now_ms + round(draw * job.route.target_ms)
+            later_ms = available_ms - now_ms + round(draw * job.route.target_ms)
         return max(1, later_ms)
 
     def _occupy(self, backend: Backend, job: Job) -> Backend:
-        job.permit = self.openings.take(backend, job)
+        job.permit = self.availability.take(backend, job)
         backend.note_place()
         self._versions.note_placed(backend)
         return backend
@@ -255,21 +259,27 @@
         return None
 
     def _find_best(
-        self, job: Job, avoid: set[str], known: Sequence[Backend], room: Room
+        self,
+        job: Job,
+        avoid: set[str],
+        known: Sequence[Backend],
+        room: CapacityLimits,
     ) -> Backend | None:
         """Give the best of some servers, None if none has a place."""
         now_ms = self._clock.now()
         speed = self._backends.speed_of(job.pool)
-        best: Rate | None = None
+        best: Score | None = None
         found = None
         for backend in known:
             if backend.server.id in avoid or not room.takes(backend, now_ms):
                 continue
-            if not self.openings.is_open(backend, for_return=job.is_repeat):
+            if not self.availability.is_available(
+                backend, for_retry=job.is_retry
+            ):
                 continue
-            rated = rate(backend, job, speed, self._zone, now_ms)
-            if rated and (best is None or rated < best):
-                best, found = rated, backend
+            score = score_backend(backend, job, speed, self._zone, now_ms)
+            if score and (best is None or score < best):
+                best, found = score, backend
         return found
 
     def _draw(self, pool: str) -> list[Backend]:
@@ -306,22 +316,22 @@
             backend
             for backend in self._draw(pool)
             if room.takes(backend, now_ms)
-            and self.openings.is_open(backend, for_return=True)
+            and self.availability.is_available(backend, for_retry=True)
         ]
 
     def _free_part(self, job: Job) -> float:
         return self._queues[job.pool].headroom.give_part(job)
 
-    def _measure_room(self, pool: str, free_part: float) -> Room:
+    def _measure_room(self, pool: str, free_part: float) -> CapacityLimits:
         now_ms = self._clock.now()
         known = self._backends.of_pool(pool)
-        known = [one for one in known if one.has_room_for_all(now_ms)]
+        known = [one for one in known if one.may_send_without_permit(now_ms)]
         gateways = max(1, self._count_gateways())
         places = sum(backend.server.slots for backend in known)
         own = sum(backend.in_flight for backend in known)
         # Whether we have less than an equal part of the pool's places.
         extra = _EXTRA_PLACES if own < places // gateways else 0
-        return Room(
+        return CapacityLimits(
             gateways,
             self._backends.bound_connections(pool),
             free_part,
@@ -338,9 +348,9 @@
         victims = [known for known in queue.waiters if is_shed(known)]
         for victim in victims:
             queue.waiters.remove(victim)
-            if not victim.place.done():
+            if not victim.slot.done():
                 refusal = Refusal(Cause.overload, step=_STEP)
-                victim.place.set_exception(refusal)
+                victim.slot.set_exception(refusal)
 
     def _give_patience(self, job: Job) -> int:
         """Give until when a request waits for a place."""
@@ -353,14 +363,14 @@
         pool = waiter.job.pool
         while True:
             # A pause of a server may have ended, or a report grown old.
-            self.look_again(pool)
+            self.process_queue(pool)
             left_ms = waiter.until_ms - self._clock.now()
-            if left_ms <= 0 and not waiter.place.done():
+            if left_ms <= 0 and not waiter.slot.done():
                 raise self._give_up(waiter.job)
             step_ms = max(1, min(left_ms, self._next_look_ms(pool)))
-            await asyncio.wait((waiter.place,), timeout=step_ms / MS_PER_SECOND)
-            if waiter.place.done():
-                return waiter.place.result()
+            await asyncio.wait((waiter.slot,), timeout=step_ms / MS_PER_SECOND)
+            if waiter.slot.done():
+                return waiter.slot.result()
 
     def _next_look_ms(self, pool: str) -> int:
         """Give after how long a place may be free that nobody tells of."""
@@ -371,14 +381,14 @@
 
     def _end_wait(self, queue: Queue, waiter: Waiter) -> None:
         """Turn away at once who waits in vain, and who ranks below it."""
-        if waiter.place.done():
+        if waiter.slot.done():
             return
         job = waiter.job
         self._shed(queue, lambda known: known.job.priority > job.priority)
         known = self._backends.of_pool(job.pool)
         is_limited = any(one.signals.limit.is_named for one in known)
         cause = Cause.limited if is_limited else Cause.resting
-        waiter.place.set_exception(Refusal(cause, step=_STEP))
+        waiter.slot.set_exception(Refusal(cause, step=_STEP))
 
     def _give_up(self, job: Job) -> Refusal:
         """End the wait of a request; who ranks below it waits no longer."""
--- a/seampond/forwarding/rating.py
+++ b/seampond/forwarding/scoring.py
@@ -12,12 +12,12 @@
 
 # Whether it is a fallback, whether it is to be tried out, what is at risk
 # there, what it costs; the least is best.
-Rate = tuple[bool, int, int, float]
+Score = tuple[bool, int, int, float]
 
 
-def rate(
+def score_backend(
     backend: Backend, job: Job, pool: PoolSpeed, zone: str, now_ms: int
-) -> Rate | None:
+) -> Score | None:
     """Rate a server, the least is best; None for too late an answer.
 
     Explanation
--- a/seampond/forwarding/limit.py
+++ b/seampond/forwarding/server_limit.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Limit:
+class ServerLimit:
     """What one life of a server takes, and what we may send of it.
 
     Parameters
@@ -53,9 +53,9 @@
         When we ask once more, and when we wait for the answer no longer.
     number : int
         Of the latest time that we asked.
-    is_for_return : bool
+    is_for_retry : bool
         Whether we asked for a caller that was told to come back.
-    opens_ms, return_opens_ms : int
+    available_ms, retry_available_ms : int
         Before this there is no other permit for us, as far as we know; for a
         caller that was told to come back.
     tries_ms : int
@@ -72,9 +72,9 @@
     resend_ms: int = 0
     answer_by_ms: int = 0
     number: int = 0
-    is_for_return: bool = False
-    opens_ms: int = 0
-    return_opens_ms: int = 0
+    is_for_retry: bool = False
+    available_ms: int = 0
+    retry_available_ms: int = 0
     tries_ms: int = 0
     full_until_ms: int = 0
 
@@ -102,8 +102,8 @@
         self.rate = rate
         self.said_ms = said_ms
         if is_other:
-            self.opens_ms = 0
-            self.return_opens_ms = 0
+            self.available_ms = 0
+            self.retry_available_ms = 0
             self.full_until_ms = 0
         if rate is None:
             self.permits.clear()
@@ -112,10 +112,10 @@
 
     def note_closed(self, until_ms: int) -> None:
         """Note until when we get no permit like the one that we asked for."""
-        if self.is_for_return:
-            self.return_opens_ms = until_ms
+        if self.is_for_retry:
+            self.retry_available_ms = until_ms
         else:
-            self.opens_ms = until_ms
+            self.available_ms = until_ms
 
     def is_stale(self, now_ms: int) -> bool:
         """Whether the last word is so old that it may not hold any more."""
--- a/seampond/forwarding/signal_state.py
+++ b/seampond/forwarding/signal_state.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 
 from seampond.clock import Clock
-from seampond.forwarding.limit import Limit
 from seampond.forwarding.server import Server
+from seampond.forwarding.server_limit import ServerLimit
 from seampond.forwarding.server_signals import ServerSignals
 
 # Some 150 B each; a server that is forgotten is asked once more.
@@ -38,7 +38,7 @@
         Until when it wants nothing from us.
     needs_probe : bool
         Whether no request has ended there since it wanted rest.
-    limit : Limit
+    limit : ServerLimit
         What it takes from all gateways together.
 
     """
@@ -48,7 +48,7 @@
     drain_until_ms: int = 0
     backoff_until_ms: int = 0
     needs_probe: bool = False
-    limit: Limit = field(default_factory=Limit)
+    limit: ServerLimit = field(default_factory=ServerLimit)
 
     def is_backing_off(self, now_ms: int) -> bool:
         """Whether it has asked to be left alone now."""
--- a/seampond/forwarding/tests/test_admission.py
+++ b/seampond/forwarding/tests/test_admission.py
@@ -3,7 +3,7 @@
 import unittest
 
 from seampond.clock import ManualClock
-from seampond.forwarding.admission import Admission, Arrival, Belief
+from seampond.forwarding.admission import Admission, Arrival, ConfigurationState
 from seampond.forwarding.models import Configuration
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.settings.gateway import BoundSettings
@@ -19,7 +19,7 @@
         """Put the configuration in force."""
         route = build_route(is_public=True)
         self.clock = ManualClock()
-        self.belief = Belief(
+        self.belief = ConfigurationState(
             Configuration(1, {(route.host, route.prefix): route})
         )
         self.admission = Admission(
@@ -34,10 +34,10 @@
 
     def test_caller_that_comes_back_is_known(self) -> None:
         """It has less time left than callers have at first."""
-        self.assertFalse(self._is_repeat(_PATIENT_MS))
-        self.assertFalse(self._is_repeat(_PATIENT_MS))
-        self.assertTrue(self._is_repeat(_PATIENT_MS - 1500))
-        self.assertFalse(self._is_repeat(_PATIENT_MS + 100))
+        self.assertFalse(self._is_retry(_PATIENT_MS))
+        self.assertFalse(self._is_retry(_PATIENT_MS))
+        self.assertTrue(self._is_retry(_PATIENT_MS - 1500))
+        self.assertFalse(self._is_retry(_PATIENT_MS + 100))
 
     def test_keys_need_a_proof_where_removals_are_strict(self) -> None:
         """None has an age of none, and is served where they are not."""
@@ -69,10 +69,10 @@
                     self.admission.admit(arrival, b'')
                 self.assertIs(caught.exception.cause, cause)
 
-    def _is_repeat(self, patience_ms: int) -> bool:
+    def _is_retry(self, patience_ms: int) -> bool:
         headers = [
             (b'host', b'a.example'),
             (NAMES.deadline, b'%d' % patience_ms),
         ]
         arrival = Arrival(b'GET', b'/x/y', headers, 0)
-        return self.admission.admit(arrival, b'').is_repeat
+        return self.admission.admit(arrival, b'').is_retry
--- a/seampond/forwarding/tests/test_openings.py
+++ b/seampond/forwarding/tests/test_availability.py
@@ -6,10 +6,10 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.limit import Permit
 from seampond.forwarding.refusals import Cause, Refusal
-from seampond.forwarding.returning import LATEST_MS
+from seampond.forwarding.retry_times import LATEST_MS
 from seampond.forwarding.scheduler import Scheduler
+from seampond.forwarding.server_limit import Permit
 from seampond.forwarding.server_signals import ServerSignals
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import (
@@ -36,27 +36,27 @@
         self.reserving: list[str] = []
         self.returns_ms: dict[str, int] = {}
 
-    def may_send(self, backend: Backend, *, for_return: bool) -> bool:
+    def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
         """Whether there is one."""
         return self.given > 0
 
-    def take(self, backend: Backend, *, for_return: bool) -> Permit:
+    def take(self, backend: Backend, *, for_retry: bool) -> Permit:
         """Take one."""
         self.given -= 1
         return Permit(0, 1 << 60)
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_return: bool
+        self, backend: Backend, patience_ms: int, *, for_retry: bool
     ) -> None:
         """Note who is asked, and wait for the answer."""
         self.asked.append(backend.server.id)
         backend.signals.limit.asked_ms = Clock().now()
 
-    def opens_ms(self, backend: Backend, *, for_return: bool) -> int:
+    def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
         """Give what the test says."""
         return self.opens_at_ms
 
-    def find_out(self, backend: Backend) -> None:
+    def probe_limit(self, backend: Backend) -> None:
         """Do not."""
 
     async def reserve(self, backend: Backend) -> int | None:
@@ -77,7 +77,7 @@
             self.backends, ZONE, self.clock, lambda: 1, build_promises()
         )
         self.giver = _Giver()
-        self.scheduler.openings.permits = self.giver
+        self.scheduler.availability.permits = self.giver
         for backend in self.backends:
             self.say(backend, ServerSignals(limit=2))
 
@@ -88,14 +88,14 @@
     def place(self, request_id: str, **changes: int) -> 'asyncio.Task[Backend]':
         """Let a request wait for a place."""
         job = build_job(request_id, **changes)
-        return asyncio.create_task(self.scheduler.place(job, set()))
+        return asyncio.create_task(self.scheduler.acquire(job, set()))
 
     def answer(self, given: int) -> None:
         """Let the owner answer all that were asked."""
         for backend in self.backends:
             backend.signals.limit.asked_ms = None
         self.giver.given = given
-        self.scheduler.look_again(POOL)
+        self.scheduler.process_queue(POOL)
 
     async def check_refused(self, task: 'asyncio.Task[Backend]') -> Refusal:
         """Check that a request was turned away for the limits, and soon."""
@@ -107,11 +107,11 @@
 
     async def test_limited_servers_are_no_room(self) -> None:
         """For what a workspace asks beyond its rate."""
-        self.assertFalse(self.scheduler.has_room(POOL))
+        self.assertFalse(self.scheduler.has_spare_capacity(POOL))
         # Later than the word of the limit.
         await asyncio.sleep(_SOON_S)
         self.say(pick(self.backends, 'i-1'), ServerSignals())
-        self.assertTrue(self.scheduler.has_room(POOL))
+        self.assertTrue(self.scheduler.has_spare_capacity(POOL))
 
     async def test_each_that_waits_asks_once(self) -> None:
         """As long as no answer has come."""
@@ -128,7 +128,7 @@
         route = build_route(priority=0)
         plain = self.place('r1')
         urgent = asyncio.create_task(
-            self.scheduler.place(build_job('r2', route=route), set())
+            self.scheduler.acquire(build_job('r2', route=route), set())
         )
         await asyncio.sleep(_SOON_S / 2)
         self.giver.opens_at_ms = self.clock.now() + _LATER_MS
@@ -204,7 +204,7 @@
         for backend in self.backends:
             self.say(backend, ServerSignals(limit=2, is_draining=True))
         job = build_job('r1')
-        waiting = asyncio.create_task(self.scheduler.place(job, set()))
+        waiting = asyncio.create_task(self.scheduler.acquire(job, set()))
         await asyncio.sleep(_SOON_S / 2)
         self.assertFalse(waiting.done())
         self.answer(1)
@@ -215,8 +215,8 @@
         """Nor does it keep one of an earlier place."""
         job = build_job('r1')
         self.giver.given = 1
-        await self.scheduler.place(job, set())
+        await self.scheduler.acquire(job, set())
         self.assertIsNotNone(job.permit)
         self.backends.keep_only([build_server('i-9')])
-        await self.scheduler.place(job, set())
+        await self.scheduler.acquire(job, set())
         self.assertIsNone(job.permit)
--- a/seampond/forwarding/tests/test_returning.py
+++ b/seampond/forwarding/tests/test_retry_times.py
@@ -8,8 +8,8 @@
 from seampond.clock import Clock
 from seampond.forwarding.job import Job
 from seampond.forwarding.refusals import Refusal
-from seampond.forwarding.returning import return_in_time
-from seampond.forwarding.scheduler import GiveReturn, Scheduler
+from seampond.forwarding.retry_times import spread_retry_ms
+from seampond.forwarding.scheduler import RetryAfterFunction, Scheduler
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import (
     ZONE,
@@ -58,7 +58,9 @@
 class Replay:
     """One pool under a burst; each caller comes back once."""
 
-    def __init__(self, clock: Clock, seed: int, way: GiveReturn) -> None:
+    def __init__(
+        self, clock: Clock, seed: int, way: RetryAfterFunction
+    ) -> None:
         """Start with nobody waiting."""
         backends = build_backends(
             (
@@ -102,7 +104,7 @@
             end_ms=since_ms + _DEADLINE_MS,
         )
         try:
-            backend = await self.scheduler.place(job, set())
+            backend = await self.scheduler.acquire(job, set())
         except Refusal as refusal:
             return refusal.retry_after_ms
         await self.clock.sleep(_WORK_MS)
@@ -113,7 +115,7 @@
         return 0
 
 
-def replay(way: GiveReturn, seed: int) -> Served:
+def replay(way: RetryAfterFunction, seed: int) -> Served:
     """Replay the load; give what became of it."""
     found: list[Served] = []
 
@@ -134,7 +136,7 @@
         """On each seed; fewer are served late."""
         for seed in _SEEDS:
             before = replay(return_by_time_left, seed)
-            after = replay(return_in_time, seed)
+            after = replay(spread_retry_ms, seed)
             with self.subTest(seed=seed):
                 self.assertGreater(
                     after.part_in_time, before.part_in_time + 0.02
@@ -144,6 +146,6 @@
         """They wait a third of what they have left at the most."""
         job = build_job(route=_ROUTE, arrived_ms=0, end_ms=900)
         for draw in (0, 0.5, 1):
-            back_ms = return_in_time(job, 0, draw)
+            back_ms = spread_retry_ms(job, 0, draw)
             self.assertLessEqual(back_ms, 300)
             self.assertGreater(back_ms, 0)
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -52,9 +52,9 @@
         """Beyond the slots a request waits and is turned away in time."""
         scheduler, _ = build_scheduler(2)
         for _ in range(2):
-            await scheduler.place(build_job(), set())
+            await scheduler.acquire(build_job(), set())
         with self.assertRaises(Refusal) as caught:
-            await scheduler.place(
+            await scheduler.acquire(
                 build_job(route=build_route(target_ms=100)), set()
             )
         self.assertEqual(caught.exception.cause, Cause.waited)
@@ -64,12 +64,12 @@
     async def test_free_place_is_handed_to_the_highest_rank(self) -> None:
         """The higher rank goes first, whoever came first."""
         scheduler, (backend,) = build_scheduler(1)
-        await scheduler.place(build_job(route=_SLOW), set())
+        await scheduler.acquire(build_job(route=_SLOW), set())
         served: list[int] = []
 
         async def wait(priority: int) -> None:
             job = build_job(route=_SLOW, priority=priority)
-            await scheduler.place(job, set())
+            await scheduler.acquire(job, set())
             served.append(priority)
 
         tasks = [asyncio.create_task(wait(rank)) for rank in (2, 1, 0)]
@@ -83,14 +83,14 @@
     async def test_who_was_turned_away_goes_first(self) -> None:
         """Among equals, whoever came first: it would be lost otherwise."""
         scheduler, (backend,) = build_scheduler(1)
-        await scheduler.place(build_job(route=_SLOW), set())
+        await scheduler.acquire(build_job(route=_SLOW), set())
         tasks = [
             asyncio.create_task(
-                scheduler.place(
-                    build_job(name, route=_SLOW, is_repeat=is_repeat), set()
+                scheduler.acquire(
+                    build_job(name, route=_SLOW, is_retry=is_retry), set()
                 )
             )
-            for name, is_repeat in (('first', False), ('again', True))
+            for name, is_retry in (('first', False), ('again', True))
         ]
         await until_true(lambda: scheduler.waiting == len(tasks))
         scheduler.release(backend)
@@ -106,10 +106,10 @@
         scheduler = Scheduler(
             backends, ZONE, clock, lambda: 1, build_promises()
         )
-        backend = await scheduler.place(build_job(route=_STREAM), set())
+        backend = await scheduler.acquire(build_job(route=_STREAM), set())
         tasks = [
             asyncio.create_task(
-                scheduler.place(
+                scheduler.acquire(
                     build_job(name, route=_STREAM, has_begun=has_begun), set()
                 )
             )
@@ -125,14 +125,14 @@
     async def test_higher_rank_is_not_shed_while_lower_waits(self) -> None:
         """With one that gives up, all that rank below it are turned away."""
         scheduler, _ = build_scheduler(1)
-        await scheduler.place(build_job(route=_SLOW), set())
+        await scheduler.acquire(build_job(route=_SLOW), set())
         low = asyncio.create_task(
-            scheduler.place(build_job(route=_SLOW, priority=2), set())
+            scheduler.acquire(build_job(route=_SLOW, priority=2), set())
         )
         await asyncio.sleep(0)
         with self.assertRaises(Refusal):
             hasty = build_route(target_ms=100)
-            await scheduler.place(build_job(route=hasty, priority=1), set())
+            await scheduler.acquire(build_job(route=hasty, priority=1), set())
         with self.assertRaises(Refusal) as caught:
             await low
         self.assertEqual(caught.exception.cause, Cause.overload)
@@ -140,9 +140,9 @@
     async def test_leave_while_waiting_leaks_no_place(self) -> None:
         """A caller that leaves as its place comes gives it back."""
         scheduler, (backend,) = build_scheduler(1)
-        await scheduler.place(build_job(route=_SLOW), set())
+        await scheduler.acquire(build_job(route=_SLOW), set())
         waiting = asyncio.create_task(
-            scheduler.place(build_job(route=_SLOW), set())
+            scheduler.acquire(build_job(route=_SLOW), set())
         )
         await asyncio.sleep(0)
         scheduler.release(backend)
@@ -156,7 +156,7 @@
         """A server that drains is no place."""
         scheduler, _ = build_scheduler(4, is_draining=True)
         with self.assertRaises(Refusal) as caught:
-            await scheduler.place(
+            await scheduler.acquire(
                 build_job(route=build_route(target_ms=50)), set()
             )
         self.assertEqual(caught.exception.cause, Cause.no_server)
@@ -165,10 +165,10 @@
         """A server full of others' requests is full, but for our share."""
         scheduler, (full, free) = build_scheduler(4, 4, gateways=2)
         full.others = OthersLoad(4, 0, Clock().now())
-        placed = [await scheduler.place(build_job(), set()) for _ in range(4)]
+        placed = [await scheduler.acquire(build_job(), set()) for _ in range(4)]
         self.assertEqual(placed.count(free), 4)
         # Both are full now; half of each server is ours all the same.
-        self.assertIs(await scheduler.place(build_job(), set()), full)
+        self.assertIs(await scheduler.acquire(build_job(), set()), full)
 
     async def test_many_gateways_do_not_overfill_a_server(self) -> None:
         """Each with a place beyond the slots would double what it holds."""
@@ -177,7 +177,7 @@
         for backend in backends:
             backend.others = OthersLoad(6, 0, now_ms)
         with self.assertRaises(Refusal):
-            await scheduler.place(
+            await scheduler.acquire(
                 build_job(route=build_route(target_ms=50)), set()
             )
 
@@ -187,41 +187,43 @@
         now_ms = Clock().now()
         for backend in backends:
             backend.others = OthersLoad(4, 0, now_ms)
-        await scheduler.place(build_job(), set())
+        await scheduler.acquire(build_job(), set())
         with self.assertRaises(Refusal):
-            await scheduler.place(
+            await scheduler.acquire(
                 build_job(route=build_route(target_ms=50)), set()
             )
 
     async def test_room_ends_before_the_slots_do(self) -> None:
         """With one place of four free there is none to spare."""
         scheduler, _ = build_scheduler(4)
-        self.assertTrue(scheduler.has_room(POOL))
+        self.assertTrue(scheduler.has_spare_capacity(POOL))
         for _ in range(3):
-            await scheduler.place(build_job(), set())
-        self.assertFalse(scheduler.has_room(POOL))
+            await scheduler.acquire(build_job(), set())
+        self.assertFalse(scheduler.has_spare_capacity(POOL))
 
     async def test_less_urgent_work_leaves_places_free(self) -> None:
         """A server's last places are for urgent work of any gateway."""
         scheduler, _ = build_scheduler(10)
         urgent = build_route(priority=0)
         other = build_route(priority=2, target_ms=50)
-        await scheduler.place(build_job(route=urgent), set())
+        await scheduler.acquire(build_job(route=urgent), set())
         placed = 0
         with self.assertRaises(Refusal):
             for placed in range(20):
-                await scheduler.place(build_job(route=other, priority=0), set())
+                await scheduler.acquire(
+                    build_job(route=other, priority=0), set()
+                )
         self.assertEqual(placed, 8)
-        await scheduler.place(build_job(route=urgent), set())
+        await scheduler.acquire(build_job(route=urgent), set())
 
     async def test_long_prompts_are_kept_apart(self) -> None:
         """What waits to be read on a server makes it the slower one."""
         scheduler, backends = build_scheduler(8, 8)
         job = build_job(route=_STREAM, prompt=Prompt(20_000, 10))
-        first = await scheduler.place(job, set())
+        first = await scheduler.acquire(job, set())
         first.unanswered[b'r1'] = (Clock().now(), 20_000)
         others = [
-            await scheduler.place(
+            await scheduler.acquire(
                 build_job(route=_STREAM, prompt=Prompt(500, 10)), set()
             )
             for _ in range(3)
@@ -239,7 +241,7 @@
             backends, ZONE, Clock(), lambda: 1, build_promises()
         )
         placed = [
-            await scheduler.place(build_job(route=_STREAM), set())
+            await scheduler.acquire(build_job(route=_STREAM), set())
             for _ in range(12)
         ]
         names = [backend.server.id for backend in placed]
@@ -253,7 +255,7 @@
         keeper.in_flight = 3
         prompt = Prompt(8000, 10, (('a', 3000), ('b', 5000)))
         job = build_job(route=_STREAM, prompt=prompt)
-        self.assertIs(await scheduler.place(job, set()), keeper)
+        self.assertIs(await scheduler.acquire(job, set()), keeper)
 
     async def test_answer_that_would_end_late_goes_to_a_fast_server(
         self,
@@ -266,7 +268,7 @@
         route = build_route(kind=Kind.stream, timeout_ms=5000)
         prompt = Prompt(100, 800)
         for _ in range(2):
-            placed = await scheduler.place(
+            placed = await scheduler.acquire(
                 build_job(route=route, prompt=prompt), set()
             )
             self.assertIs(placed, fast)
@@ -282,9 +284,9 @@
         fast.in_flight = 2
         slow.in_flight = 2
         job = build_job(route=_STREAM, prompt=Prompt(100, 600))
-        self.assertIs(await scheduler.place(job, set()), fast)
+        self.assertIs(await scheduler.acquire(job, set()), fast)
         short = build_job(route=_STREAM, prompt=Prompt(100, 4))
-        self.assertIs(await scheduler.place(short, set()), slow)
+        self.assertIs(await scheduler.acquire(short, set()), slow)
 
     async def test_server_that_answers_nothing_is_left_alone(self) -> None:
         """One of ours that waits long there is a sign for the next."""
@@ -292,7 +294,7 @@
         silent.unanswered[b'r0'] = (Clock().now() - 2000, 0)
         other.in_flight = 6
         placed = [
-            await scheduler.place(build_job(route=_STREAM), set())
+            await scheduler.acquire(build_job(route=_STREAM), set())
             for _ in range(2)
         ]
         self.assertEqual(placed, [other, other])
@@ -305,9 +307,9 @@
         other.in_flight = 5
         route = build_route(kind=Kind.stream, pause_ms=400)
         long = build_job(route=route, prompt=Prompt(6000, 10))
-        self.assertIs(await scheduler.place(long, set()), other)
+        self.assertIs(await scheduler.acquire(long, set()), other)
         short = build_job(route=route, prompt=Prompt(100, 10))
-        self.assertIs(await scheduler.place(short, set()), pausing)
+        self.assertIs(await scheduler.acquire(short, set()), pausing)
 
     async def test_wrong_belief_of_speed_locks_nobody_out(self) -> None:
         """Servers that are thought far too slow are tried all the same."""
@@ -315,7 +317,7 @@
         for backend in backends:
             backend.speed.gap_ms = 4000
         job = build_job(route=_STREAM, prompt=Prompt(600, 800))
-        self.assertIn(await scheduler.place(job, set()), backends)
+        self.assertIn(await scheduler.acquire(job, set()), backends)
 
     async def test_idle_server_is_a_place_for_any_prompt(self) -> None:
         """What nothing waits for is never too slow to be tried."""
@@ -323,7 +325,7 @@
         backends[0].speed.gap_ms = 400
         slow = build_route(kind=Kind.stream, target_ms=10)
         job = build_job(route=slow, prompt=Prompt(60_000, 10))
-        self.assertIs(await scheduler.place(job, set()), backends[0])
+        self.assertIs(await scheduler.acquire(job, set()), backends[0])
 
     async def test_servers_whose_rows_lapsed_are_a_fallback(self) -> None:
         """A row may go while the store is down; its server may be well."""
@@ -335,16 +337,16 @@
             backends, ZONE, clock, lambda: 1, build_promises()
         )
         backends.keep_only([])
-        placed = await scheduler.place(build_job(), set())
+        placed = await scheduler.acquire(build_job(), set())
         self.assertIn(placed.server.id, {'i-0', 'i-1'})
         backends.take(servers[1:], [])
         for _ in range(4):
-            placed = await scheduler.place(build_job(), set())
+            placed = await scheduler.acquire(build_job(), set())
             self.assertEqual(placed.server.id, 'i-1')
         backends.keep_only([])
         clock.advance(1001)
         with self.assertRaises(Refusal):
-            await scheduler.place(
+            await scheduler.acquire(
                 build_job(route=build_route(target_ms=1), arrived_ms=0), set()
             )
 
@@ -379,7 +381,7 @@
     async def place(self, scheduler: Scheduler, **changes: Any) -> str:
         """Place a request; give the server, or why there is none."""
         job = build_job(arrived_ms=self.clock.now(), **changes)
-        placing = asyncio.create_task(scheduler.place(job, set()))
+        placing = asyncio.create_task(scheduler.acquire(job, set()))
         await asyncio.sleep(0.01)
         self.clock.advance(250)
         try:
@@ -428,7 +430,7 @@
         )
         job = build_job(arrived_ms=self.clock.now())
         with self.assertRaises(Refusal) as caught:
-            await asyncio.wait_for(scheduler.place(job, set()), 1)
+            await asyncio.wait_for(scheduler.acquire(job, set()), 1)
         self.assertEqual(caught.exception.cause, Cause.resting)
         self.assertGreaterEqual(caught.exception.retry_after_ms, 3000)
         self.assertLessEqual(caught.exception.retry_after_ms, 4000)
@@ -446,11 +448,11 @@
         scheduler, backends = self.build(2, 6)
         backend = pick(backends, 'i-0')
         backend.in_flight = 2
-        self.assertTrue(scheduler.has_room(POOL))
+        self.assertTrue(scheduler.has_spare_capacity(POOL))
         backends.apply_signals(
             pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
         )
-        self.assertFalse(scheduler.has_room(POOL))
+        self.assertFalse(scheduler.has_spare_capacity(POOL))
 
     async def test_one_finds_out_who_is_well_again(self) -> None:
         """Who may go on elsewhere, and first; the others go elsewhere."""
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from seampond.clock import Clock
-from seampond.forwarding.admission import Belief
+from seampond.forwarding.admission import ConfigurationState
 from seampond.forwarding.app import GatewayWeb
 from seampond.forwarding.backend import OthersLoad
 from seampond.forwarding.backends import Backends
@@ -52,7 +52,7 @@
     clock: Clock
     metrics: GatewayMetrics
     promises: Promises
-    belief: Belief
+    belief: ConfigurationState
     backends: Backends
     scheduler: Scheduler
     web: GatewayWeb
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -4,7 +4,7 @@
 
 from seampond.clock import Clock
 from seampond.errors import PlatformError
-from seampond.forwarding.admission import Belief
+from seampond.forwarding.admission import ConfigurationState
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server import Server
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        belief: Belief,
+        belief: ConfigurationState,
         promises: Promises,
         metrics: GatewayMetrics,
         clock: Clock,
@@ -108,7 +108,7 @@
             self._backends.take(servers, gone)
         self._backends.suspend(unreadable)
         self.is_known = True
-        self._scheduler.hand_out_all()
+        self._scheduler.process_queues()
 
     def _tell(self, server_id: str, error: PlatformError) -> None:
         """Log a row that is none; once, however often it is written."""
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from seampond.clock import MS_PER_SECOND, Clock
-from seampond.forwarding.admission import Admission, Belief
+from seampond.forwarding.admission import Admission, ConfigurationState
 from seampond.forwarding.app import GatewayWeb
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.forwarder import Forwarder, ForwarderParts
@@ -45,7 +45,9 @@
 _INCARNATION_BITS = 48
 
 
-def connection_limit(belief: Belief, peers: Peers, pool: str) -> int:
+def connection_limit(
+    belief: ConfigurationState, peers: Peers, pool: str
+) -> int:
     """Give how many connections one gateway may have to each server.
 
     Explanation
@@ -63,7 +65,7 @@
 
 def make_rollouts(
     bounds: BoundSettings,
-    belief: Belief,
+    belief: ConfigurationState,
     backends: Backends,
     peers: Peers,
     store_time: StoreClock,
@@ -97,7 +99,7 @@
 
 def _show_ages(
     metrics: GatewayMetrics,
-    belief: Belief,
+    belief: ConfigurationState,
     currencies: Mapping[str, TableFreshness],
     clock: Clock,
 ) -> None:
@@ -121,7 +123,7 @@
     """Wire the state of a gateway together."""
     metrics = GatewayMetrics()
     promises = Promises(lambda rule: metrics.violations.labels(rule).inc())
-    belief = Belief()
+    belief = ConfigurationState()
     bounds = settings.bounds
     peers = Peers(settings.name, clock)
     is_urgent = asyncio.Event()
@@ -161,8 +163,8 @@
         promises,
         versions,
     )
-    scheduler.openings.permits = desk
-    desk.note_reply = scheduler.hand_out_all
+    scheduler.availability.permits = desk
+    desk.note_reply = scheduler.process_queues
     budget = RetryBudget(
         bounds.retry_ratio,
         bounds.retry_allowance,
@@ -201,7 +203,7 @@
         bounds.proof_ms,
         quotas.charge,
         quotas.refund,
-        scheduler.has_room,
+        scheduler.has_spare_capacity,
     )
     forwarder = Forwarder(
         ForwarderParts(
--- a/seampond/permits/desk.py
+++ b/seampond/permits/desk.py
@@ -8,8 +8,8 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.forwarding.backend import Backend
-from seampond.forwarding.limit import Limit, Permit
-from seampond.forwarding.returning import LATEST_MS
+from seampond.forwarding.retry_times import LATEST_MS
+from seampond.forwarding.server_limit import Permit, ServerLimit
 from seampond.permits.giver import Giver
 from seampond.permits.heard import Heard, make_word
 from seampond.permits.messages import Ask, Reply, Word
@@ -45,7 +45,7 @@
     """One that an owner has not answered yet."""
 
     ask: Ask
-    limit: Limit
+    limit: ServerLimit
 
 
 class Desk:
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    take_word : Callable[[int, float | None, int], Limit | None]
+    take_word : Callable[[int, float | None, int], ServerLimit | None]
         Takes what another gateway knows of a limit, by the key of the life;
         gives what holds, None for a server that is not known.
     note_urgent : Callable[[], None]
@@ -84,7 +84,7 @@
         self,
         gateways: Gateways,
         clock: Clock,
-        take_word: Callable[[int, float | None, int], Limit | None],
+        take_word: Callable[[int, float | None, int], ServerLimit | None],
         note_urgent: Callable[[], None],
         rng: random.Random,
         count: Callable[[str], None] = _count_nothing,
@@ -105,7 +105,7 @@
         self._asked: dict[int, _Question] = {}
         self._reserving: dict[int, asyncio.Future[int]] = {}
 
-    def may_send(self, backend: Backend, *, for_return: bool = False) -> bool:
+    def may_send(self, backend: Backend, *, for_retry: bool = False) -> bool:
         """Whether a request may be sent to a server with a limit now."""
         limit = backend.signals.limit
         if limit.has_permit(self._clock.now()):
@@ -113,22 +113,22 @@
         key = hash_name(backend.server.life)
         if not self._owners.is_ours(key):
             return False
-        return self._giver.has_permit(key, limit, for_return=for_return)
+        return self._giver.has_permit(key, limit, for_retry=for_retry)
 
     def take(
-        self, backend: Backend, *, for_return: bool = False
+        self, backend: Backend, *, for_retry: bool = False
     ) -> Permit | None:
         """Take up a permit to send now."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         permit = limit.take_permit(now_ms)
         key = hash_name(backend.server.life)
         if permit is None and self._owners.is_ours(key):
-            self.ask(backend, 0, for_return=for_return)
+            self.ask(backend, 0, for_retry=for_retry)
             permit = limit.take_permit(now_ms)
         return permit
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_return: bool = False
+        self, backend: Backend, patience_ms: int, *, for_retry: bool = False
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
         limit, now_ms = backend.signals.limit, self._clock.now()
@@ -136,22 +136,22 @@
         limit.drop_old(now_ms)
         if self._owners.is_ours(key):
             wait_ms = self._giver.give(
-                key, limit, patience_ms, for_return=for_return
+                key, limit, patience_ms, for_retry=for_retry
             )
             if wait_ms is not None:
                 self._count('own')
                 limit.add_permit(now_ms, now_ms, wait_ms)
             return
-        reply_ms = _RETURN_REPLY_MS if for_return else _REPLY_MS
+        reply_ms = _RETURN_REPLY_MS if for_retry else _REPLY_MS
         limit.asked_ms = now_ms
         limit.resend_ms = now_ms + _RESEND_MS
         limit.answer_by_ms = now_ms + reply_ms
-        limit.is_for_return = for_return
+        limit.is_for_retry = for_retry
         limit.number = next(self._numbers)
         ask = replace(
             self._make_ask(key, limit, limit.number),
             patience_ms=patience_ms,
-            for_return=for_return,
+            for_retry=for_retry,
         )
         self._asked[limit.number] = _Question(ask, limit)
         self._send_ask(ask)
@@ -176,16 +176,16 @@
             limit.full_until_ms = self._clock.now() + _FULL_MS
         return wait_ms or None
 
-    def opens_ms(self, backend: Backend, *, for_return: bool = False) -> int:
+    def available_ms(self, backend: Backend, *, for_retry: bool = False) -> int:
         """Give the time before which there is no other permit for us."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         key = hash_name(backend.server.life)
         if self._owners.is_ours(key):
-            return self._giver.opens_ms(key, limit, for_return=for_return)
+            return self._giver.available_ms(key, limit, for_retry=for_retry)
         self._look_after(limit, now_ms)
-        return limit.return_opens_ms if for_return else limit.opens_ms
+        return limit.retry_available_ms if for_retry else limit.available_ms
 
-    def find_out(self, backend: Backend) -> None:
+    def probe_limit(self, backend: Backend) -> None:
         """Ask now and then, for a request that tells if the limit holds on.
 
         Explanation
@@ -244,7 +244,9 @@
             self._take_answer(question.limit, reply)
             self.note_reply()
 
-    def note_heard(self, key: int, limit: Limit, *, is_other: bool) -> None:
+    def note_heard(
+        self, key: int, limit: ServerLimit, *, is_other: bool
+    ) -> None:
         """Note that an answer to us has spoken of a limit."""
         self._heard.note(key, limit, is_other=is_other)
         self._begin(key, limit)
@@ -270,18 +272,18 @@
         for question in list(self._asked.values()):
             self._look_after(question.limit, now_ms)
 
-    def _begin(self, key: int, limit: Limit) -> None:
+    def _begin(self, key: int, limit: ServerLimit) -> None:
         if limit.is_named and self._owners.is_ours(key):
             self._giver.begin(key, limit)
 
-    def _make_ask(self, key: int, limit: Limit, number: int) -> Ask:
+    def _make_ask(self, key: int, limit: ServerLimit, number: int) -> Ask:
         word = make_word(limit, self._clock.now())
         return Ask(self._gateways.name, key, number, word, patience_ms=0)
 
     def _send_ask(self, ask: Ask) -> None:
         self.send(self._owners.find(ask.life), ask)
 
-    async def _ask_to_reserve(self, key: int, limit: Limit) -> int:
+    async def _ask_to_reserve(self, key: int, limit: ServerLimit) -> int:
         """Ask the owner; give 0 where it does not answer in time."""
         number = next(self._numbers)
         reserving: asyncio.Future[int] = (
@@ -298,7 +300,7 @@
         finally:
             self._reserving.pop(number, None)
 
-    def _take_answer(self, limit: Limit, reply: Reply) -> None:
+    def _take_answer(self, limit: ServerLimit, reply: Reply) -> None:
         if limit.number != reply.number or limit.asked_ms is None:
             return
         self._count('given' if reply.is_given else 'refused')
@@ -309,7 +311,7 @@
             limit.note_closed(now_ms + reply.wait_ms)
         limit.asked_ms = None
 
-    def _look_after(self, limit: Limit, now_ms: int) -> None:
+    def _look_after(self, limit: ServerLimit, now_ms: int) -> None:
         """Ask an owner again that has not answered, then wait no longer."""
         if limit.asked_ms is None:
             return
--- a/seampond/permits/giver.py
+++ b/seampond/permits/giver.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from seampond.clock import Clock
-from seampond.forwarding.limit import Limit
+from seampond.forwarding.server_limit import ServerLimit
 from seampond.permits.ledger import Ledger
 from seampond.permits.messages import Ask, Reply
 from seampond.permits.owners import Owners
@@ -28,29 +28,35 @@
         self._ledger = Ledger(clock)
         self._answers: dict[tuple[str, int], tuple[int, Reply]] = {}
 
-    def begin(self, key: int, limit: Limit) -> None:
+    def begin(self, key: int, limit: ServerLimit) -> None:
         """Let permits of a limit gather before anybody asks."""
         self._ledger.begin(key, self._owners.share(limit.rate))
 
-    def has_permit(self, key: int, limit: Limit, *, for_return: bool) -> bool:
+    def has_permit(
+        self, key: int, limit: ServerLimit, *, for_retry: bool
+    ) -> bool:
         """Whether there is a permit now."""
         rate = self._owners.share(limit.rate)
-        return not self._ledger.wait_ms(key, rate, for_return=for_return)
+        return not self._ledger.wait_ms(key, rate, for_retry=for_retry)
 
-    def opens_ms(self, key: int, limit: Limit, *, for_return: bool) -> int:
+    def available_ms(
+        self, key: int, limit: ServerLimit, *, for_retry: bool
+    ) -> int:
         """Give the time at which there may be a permit at the soonest."""
         rate = self._owners.share(limit.rate)
         now_ms = self._clock.now()
-        return now_ms + self._ledger.opens_ms(key, rate, for_return=for_return)
+        return now_ms + self._ledger.available_ms(
+            key, rate, for_retry=for_retry
+        )
 
     def give(
-        self, key: int, limit: Limit, patience_ms: int, *, for_return: bool
+        self, key: int, limit: ServerLimit, patience_ms: int, *, for_retry: bool
     ) -> int | None:
         """Give ourselves a permit; tell after how long it holds."""
         rate = self._owners.share(limit.rate)
-        return self._ledger.give(key, rate, patience_ms, for_return=for_return)
+        return self._ledger.give(key, rate, patience_ms, for_retry=for_retry)
 
-    def reserve(self, key: int, limit: Limit) -> int:
+    def reserve(self, key: int, limit: ServerLimit) -> int:
         """Keep a permit for a caller; tell when it should come back."""
         return self._ledger.reserve(key, self._owners.share(limit.rate))
 
@@ -90,9 +96,9 @@
         if ask.reserves:
             return replace(refusal, return_ms=ledger.reserve(key, rate))
         wait_ms = ledger.give(
-            key, rate, ask.patience_ms, for_return=ask.for_return
+            key, rate, ask.patience_ms, for_retry=ask.for_retry
         )
         if wait_ms is not None:
             return replace(refusal, is_given=True, wait_ms=wait_ms)
-        opens_ms = ledger.opens_ms(key, rate, for_return=ask.for_return)
-        return replace(refusal, wait_ms=opens_ms)
+        available_ms = ledger.available_ms(key, rate, for_retry=ask.for_retry)
+        return replace(refusal, wait_ms=available_ms)
--- a/seampond/permits/heard.py
+++ b/seampond/permits/heard.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from seampond.clock import Clock
-from seampond.forwarding.limit import Limit
+from seampond.forwarding.server_limit import ServerLimit
 from seampond.permits.messages import Word
 from seampond.permits.owners import Gateways
 
@@ -13,7 +13,7 @@
 _TOLD_MAX = 32
 
 
-def make_word(limit: Limit, now_ms: int) -> Word:
+def make_word(limit: ServerLimit, now_ms: int) -> Word:
     """Give what is known of a limit, with its age."""
     return Word(limit.rate, max(0, now_ms - (limit.said_ms or now_ms)))
 
@@ -26,9 +26,9 @@
         self._gateways = gateways
         self._clock = clock
         # By key of the life: the limit, and since when it is what it is.
-        self._limits: dict[int, tuple[Limit, int]] = {}
+        self._limits: dict[int, tuple[ServerLimit, int]] = {}
 
-    def note(self, key: int, limit: Limit, *, is_other: bool) -> None:
+    def note(self, key: int, limit: ServerLimit, *, is_other: bool) -> None:
         """Note an answer that speaks of a limit, maybe of another one."""
         now_ms = self._clock.now()
         since_ms = now_ms if is_other else self._limits.get(key, (limit, 0))[1]
@@ -54,6 +54,6 @@
         }
 
 
-def _last_ms(limit: Limit, since_ms: int) -> int:
+def _last_ms(limit: ServerLimit, since_ms: int) -> int:
     """Give when there was last anything to tell of a limit."""
     return (limit.said_ms or 0) if limit.is_named else since_ms
--- a/seampond/permits/ledger.py
+++ b/seampond/permits/ledger.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from seampond.clock import MS_PER_SECOND, Clock
-from seampond.forwarding.returning import KEPT_PART, LATEST_MS
+from seampond.forwarding.retry_times import KEPT_PART, LATEST_MS
 
 # What may come at once, so that uneven arrivals use the limit: some requests
 # and what the limit allows in a part of a second.
@@ -47,7 +47,7 @@
         """Whether a caller that was told so may come back now."""
         return bool(self.reserved) and self.reserved[0] <= now_ms + _EARLY_MS
 
-    def count_missing(self, now_ms: int, *, for_return: bool) -> float:
+    def count_missing(self, now_ms: int, *, for_retry: bool) -> float:
         """Give how many permits have to flow in before one may be given.
 
         Explanation
@@ -56,7 +56,7 @@
         for one of those for whom it was.
         """
         missing = 1 - self.level
-        if for_return and self.is_due(now_ms):
+        if for_retry and self.is_due(now_ms):
             return missing
         needed = missing
         for count, at_ms in enumerate(self.reserved, 1):
@@ -98,17 +98,15 @@
         """Let permits of a limit that we own gather before anybody asks."""
         self._fill(key, rate).asked_ms = self._clock.now()
 
-    def wait_ms(
-        self, key: int, rate: float, *, for_return: bool = False
-    ) -> int:
+    def wait_ms(self, key: int, rate: float, *, for_retry: bool = False) -> int:
         """Give how long until there is a permit that nobody has."""
         account = self._fill(key, rate)
         now_ms = self._clock.now()
-        missing = account.count_missing(now_ms, for_return=for_return)
+        missing = account.count_missing(now_ms, for_retry=for_retry)
         return max(0, -round(-missing / rate * MS_PER_SECOND))
 
-    def opens_ms(
-        self, key: int, rate: float, *, for_return: bool = False
+    def available_ms(
+        self, key: int, rate: float, *, for_retry: bool = False
     ) -> int:
         """Give after how long there may be such a permit at the soonest.
 
@@ -117,7 +115,7 @@
         One that was reserved is free again if its caller does not come, which
         is worth asking for where permits are rare.
         """
-        wait_ms = self.wait_ms(key, rate, for_return=for_return)
+        wait_ms = self.wait_ms(key, rate, for_retry=for_retry)
         account = self._accounts[key]
         if not account.reserved:
             return wait_ms
@@ -133,7 +131,7 @@
         rate: float,
         patience_ms: int,
         *,
-        for_return: bool = False,
+        for_retry: bool = False,
     ) -> int | None:
         """Give a permit.
 
@@ -143,7 +141,7 @@
             Permits a second, more than none.
         patience_ms : int
             After how long it has to hold at the latest.
-        for_return : bool
+        for_retry : bool
             Whether it is for a caller that was told to come back now.
 
         Returns
@@ -152,14 +150,14 @@
             The milliseconds after which it holds, None if that is too late.
 
         """
-        wait_ms = self.wait_ms(key, rate, for_return=for_return)
+        wait_ms = self.wait_ms(key, rate, for_retry=for_retry)
         account = self._accounts[key]
         now_ms = self._clock.now()
         account.asked_ms = now_ms
         if wait_ms > patience_ms:
             return None
         account.level -= 1
-        if for_return and account.is_due(now_ms):
+        if for_retry and account.is_due(now_ms):
             account.reserved.popleft()
         return wait_ms
 
@@ -183,7 +181,7 @@
         >>> ledger = Ledger(ManualClock())
         >>> [ledger.reserve(7, 4.0) for _ in range(3)]
         [250, 964, 1678]
-        >>> ledger.wait_ms(7, 4.0), ledger.wait_ms(7, 4.0, for_return=True)
+        >>> ledger.wait_ms(7, 4.0), ledger.wait_ms(7, 4.0, for_retry=True)
         (500, 500)
 
         """
--- a/seampond/permits/messages.py
+++ b/seampond/permits/messages.py
@@ -49,7 +49,7 @@
         Tells this from other asks.
     patience_ms : int
         After how long the permit has to hold at the latest.
-    for_return : bool
+    for_retry : bool
         Whether it is for a caller that was told to come back now.
     reserves : bool
         Whether a time to come back is wanted, and no permit.
@@ -61,7 +61,7 @@
     number: int
     word: Word
     patience_ms: int
-    for_return: bool = False
+    for_retry: bool = False
     reserves: bool = False
 
 
@@ -119,7 +119,7 @@
     if isinstance(message, Ask):
         fields['ask'] = {
             'patienceMs': message.patience_ms,
-            'forReturn': message.for_return,
+            'forReturn': message.for_retry,
             'reserves': message.reserves,
         }
     else:
--- a/seampond/permits/tests/test_desk.py
+++ b/seampond/permits/tests/test_desk.py
@@ -169,8 +169,8 @@
             self.owner.desk.take(self.owner.backend)
         self.asker.desk.ask(self.asker.backend, 100)
         self.exchange()
-        opens_ms = self.asker.desk.opens_ms(self.asker.backend)
-        self.assertGreater(opens_ms, self.clock.now() + 100)
+        available_ms = self.asker.desk.available_ms(self.asker.backend)
+        self.assertGreater(available_ms, self.clock.now() + 100)
         self.assertEqual(self.asker.counted, ['refused'])
 
     def test_doubled_question_and_answer(self) -> None:
@@ -187,8 +187,8 @@
             assert isinstance(ask, Ask)
             self.owner.desk.take_ask(ask)
         self.advance(_LOST_MS)
-        opens_ms = self.asker.desk.opens_ms(self.asker.backend)
-        self.assertGreater(opens_ms, self.clock.now())
+        available_ms = self.asker.desk.available_ms(self.asker.backend)
+        self.assertGreater(available_ms, self.clock.now())
         self.answer()
         self.assertFalse(self.asker.desk.may_send(self.asker.backend))
         self.assertEqual(self.asker.counted, ['lost'])
@@ -268,7 +268,7 @@
         self.assertFalse(self.owner.desk.may_send(self.owner.backend))
         self.asker.desk.ask(self.asker.backend, 0)
         self.exchange()
-        self.asker.desk.ask(self.asker.backend, 0, for_return=True)
+        self.asker.desk.ask(self.asker.backend, 0, for_retry=True)
         self.exchange()
         self.assertEqual(self.asker.counted, ['reserved', 'refused', 'given'])
 
@@ -292,7 +292,7 @@
         for side in self.sides:
             while side.desk.may_send(side.backend):
                 side.desk.take(side.backend)
-            wait_ms = side.desk.opens_ms(side.backend) - self.clock.now()
+            wait_ms = side.desk.available_ms(side.backend) - self.clock.now()
             self.assertGreater(wait_ms, _SECOND_MS / _RATE)
 
     def test_gateway_that_does_not_know_the_others_yet(self) -> None:
@@ -340,7 +340,7 @@
             word = Word(rate, 20)
             for message in (
                 Ask('g1', 7, 3, word, 210),
-                Ask('g1', 7, 3, word, 0, for_return=True, reserves=True),
+                Ask('g1', 7, 3, word, 0, for_retry=True, reserves=True),
                 Reply('g2', 7, 3, word, True, 40),
                 Reply('g2', 7, 3, word, False, 40, return_ms=900),
             ):
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from seampond.clock import MS_PER_SECOND, Clock
+from seampond.forwarding.availability import Availability
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.openings import Openings
 from seampond.forwarding.permits import Permits
 from seampond.forwarding.refusals import Refusal
 from seampond.forwarding.scheduler import Scheduler
@@ -148,10 +148,10 @@
             build_promises(),
         )
         # Drawn anew, it would not play a seed twice alike.
-        self.scheduler.openings = Openings(fleet.clock, fleet.rng)
-        self.scheduler.openings.permits = permits
+        self.scheduler.availability = Availability(fleet.clock, fleet.rng)
+        self.scheduler.availability.permits = permits
         self.scheduler._rng = fleet.rng  # noqa: SLF001
-        self.desk.note_reply = self.scheduler.hand_out_all
+        self.desk.note_reply = self.scheduler.process_queues
         self.backends.keep_only(
             build_server(server.id, slots=_SLOTS) for server in fleet.servers
         )
@@ -187,7 +187,7 @@
         else:
             self.desk.take_reply(message)
 
-    async def serve(self, request_id: str, *, is_repeat: bool) -> int | None:
+    async def serve(self, request_id: str, *, is_retry: bool) -> int | None:
         """Carry a request through.
 
         Returns
@@ -197,9 +197,9 @@
 
         """
         clock = self.fleet.clock
-        job = build_job(request_id, arrived_ms=clock.now(), is_repeat=is_repeat)
+        job = build_job(request_id, arrived_ms=clock.now(), is_retry=is_retry)
         try:
-            backend = await self.scheduler.place(job, set())
+            backend = await self.scheduler.acquire(job, set())
         except Refusal as refusal:
             return refusal.retry_after_ms
         sent_ms = clock.now()
@@ -333,7 +333,7 @@
             return
         since_ms = self.clock.now()
         self.asked += 1
-        later_ms = await gateway.serve(f'r{next(self._ids)}', is_repeat=False)
+        later_ms = await gateway.serve(f'r{next(self._ids)}', is_retry=False)
         if later_ms is None:
             self.served += 1
             self.waits_ms.append(self.clock.now() - since_ms - _RUN_MS)
@@ -343,9 +343,7 @@
             self.came_back += 1
             await self.clock.sleep(later_ms)
             gateway = self.gateways[self.rng.choice(self.names)]
-            later_ms = await gateway.serve(
-                f'r{next(self._ids)}', is_repeat=True
-            )
+            later_ms = await gateway.serve(f'r{next(self._ids)}', is_retry=True)
             self.served_later += later_ms is None
 
     def _spawn(self, work: Any) -> None:
