--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -20,7 +20,7 @@
 from seampond.forwarding.web import TARGET_KEY, WATCH_KEY
 from seampond.metrics.gateway import GatewayMetrics
 from seampond.promises import Promises, Rule
-from seampond.quarantine import show
+from seampond.quarantine import format_fingerprint
 
 _DROPPED = frozenset(
     (
@@ -359,7 +359,7 @@
         'prompt_tokens': job.prompt.tokens,
         'answer_tokens': job.prompt.answer_tokens,
         'end_ms': job.end_ms - job.arrived_ms,
-        'fingerprint': show(job.fingerprint),
+        'fingerprint': format_fingerprint(job.fingerprint),
     }
 
 
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -20,7 +20,7 @@
 )
 from seampond.forwarding.server_signals import parse_signals
 from seampond.promises import Promises, Rule
-from seampond.quarantine import show
+from seampond.quarantine import format_fingerprint
 from seampond.quarantine.quarantine import Quarantine
 
 _WHOLE_MAX_BYTES = 1_048_576
@@ -313,7 +313,9 @@
             'attempt failed',
             extra={
                 'request': self.progress.job.request_id.decode('latin-1'),
-                'fingerprint': show(self.progress.job.fingerprint),
+                'fingerprint': format_fingerprint(
+                    self.progress.job.fingerprint
+                ),
                 'server': backend.server.id,
                 'address': backend.server.address,
                 'step': error.step,
--- a/seampond/gateway/bounds.py
+++ b/seampond/gateway/bounds.py
@@ -1,7 +1,7 @@
 """The bounds of the settings, as the parts of a gateway take them."""
 
 from seampond.clock import MS_PER_SECOND
-from seampond.rollouts.desk import Limits as ExposureLimits
+from seampond.rollouts.manager import ExposureLimits
 from seampond.settings.gateway import BoundSettings
 from seampond.sharing import QuotaMargin
 
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -23,8 +23,8 @@
 from seampond.gateway.rollouts import RolloutFollower
 from seampond.gateway.stalls import EventLoopStalls
 from seampond.metrics.gateway import GatewayMetrics
-from seampond.permits.desk import Desk
-from seampond.permits.messages import Ask, Reply
+from seampond.permits.manager import PermitManager
+from seampond.permits.messages import PermitReply, PermitRequest
 from seampond.promises import Promises
 from seampond.quarantine.quarantine import Quarantine
 from seampond.settings.gateway import GatewaySettings
@@ -66,7 +66,7 @@
     servers: ServerFollower
     rollouts: RolloutFollower
     quarantine: Quarantine
-    desk: Desk
+    permit_manager: PermitManager
     stalls: EventLoopStalls
     watches: dict[str, Watch] = field(default_factory=dict)
     _pages: list[RelayedPage] = field(default_factory=list)
@@ -114,7 +114,7 @@
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
         self.quarantine.take(heartbeat.ends, heartbeat.good)
-        self.desk.take_told(heartbeat.limits)
+        self.permit_manager.take_told(heartbeat.limits)
         # Before the proofs, which ask for what is missing.
         for told in heartbeat.pages:
             self._take_page(told)
@@ -130,16 +130,16 @@
             }
         )
 
-    def take_permit(self, message: Ask | Reply) -> None:
+    def take_permit(self, message: PermitRequest | PermitReply) -> None:
         """Take what another gateway asks or answers on permits."""
-        if isinstance(message, Ask):
-            self.desk.take_ask(message)
+        if isinstance(message, PermitRequest):
+            self.permit_manager.take_ask(message)
         else:
-            self.desk.take_reply(message)
+            self.permit_manager.take_reply(message)
 
     def make_heartbeat(self, sequence: int) -> Heartbeat:
         """Give what the other gateways are told."""
-        self.desk.look_after()
+        self.permit_manager.look_after()
         self.metrics.peers.set(self.peers.count)
         return Heartbeat(
             self.settings.name,
@@ -157,7 +157,7 @@
             rollouts=self.rollouts.rollouts.make_reports(),
             ends=tuple(self.quarantine.suspects.tell_ends()),
             good=self.quarantine.suspects.tell_good(),
-            limits=self.desk.tell(),
+            limits=self.permit_manager.tell(),
             gives_permits=True,
         )
 
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class LatencySample:
     """How fast a table is followed.
 
     Parameters
@@ -74,8 +74,8 @@
 
 
 # An older configuration may hold a key that was taken away since.
-_URGENT = Pace(_URGENT_PAUSE_MS, 0, proves_first=True)
-_CALM = Pace(_CALM_PAUSE_MS, _GATHER_MS, proves_first=False)
+_URGENT = LatencySample(_URGENT_PAUSE_MS, 0, proves_first=True)
+_CALM = LatencySample(_CALM_PAUSE_MS, _GATHER_MS, proves_first=False)
 
 
 @dataclass
@@ -119,7 +119,7 @@
     table: str,
     take: Callable[[Page], None],
     age_ms: int,
-    pace: Pace,
+    pace: LatencySample,
 ) -> AsyncIterator[None]:
     """Follow one table until the end of the `with`.
 
@@ -181,7 +181,7 @@
             register(table, components.peers, settings.peer_listen, clock)
         ),
     ):
-        components.desk.send = send_permit
+        components.permit_manager.send = send_permit
         yield
         await unregister(table, components.peers)
 
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -19,7 +19,7 @@
 )
 from seampond.platform.store import RowChange
 from seampond.promises import Promises, Rule
-from seampond.rollouts import Change, Rollouts, Stage, State
+from seampond.rollouts import Change, RolloutManager, Stage, State
 from seampond.watches import Page, Row
 
 _LOOK_MS = 100
@@ -50,7 +50,7 @@
 
     """
 
-    def __init__(self, rollouts: Rollouts, clock: Clock) -> None:
+    def __init__(self, rollouts: RolloutManager, clock: Clock) -> None:
         """Start with no order."""
         self.rollouts = rollouts
         self.is_wanted = asyncio.Event()
@@ -143,7 +143,7 @@
     while True:
         await follower.is_wanted.wait()
         before = _list_stages(rollouts)
-        rollouts.judge(clock.now())
+        rollouts.evaluate(clock.now())
         if before != _list_stages(rollouts):
             tell_all()
         now_ms = clock.now()
@@ -159,11 +159,13 @@
         await clock.sleep(_AGAIN_MS if due else _LOOK_MS)
 
 
-def _list_stages(rollouts: Rollouts) -> list[tuple[Stage, bool]]:
-    return [(one.stage, one.is_condemned) for one in rollouts.running]
+def _list_stages(rollouts: RolloutManager) -> list[tuple[Stage, bool]]:
+    return [(one.stage, one.is_rejected) for one in rollouts.running]
 
 
-def _check(rollouts: Rollouts, change: Change, promises: Promises) -> None:
+def _check(
+    rollouts: RolloutManager, change: Change, promises: Promises
+) -> None:
     """Hold a decision against what was promised, before it is written."""
     if change.state is State.done:
         promises.check(
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -229,7 +229,7 @@
         self.store.is_down = True
         self.new_status = HTTPStatus.INTERNAL_SERVER_ERROR
         await until_true(
-            lambda: all(one.is_condemned for one in self.running), _MOST_S
+            lambda: all(one.is_rejected for one in self.running), _MOST_S
         )
         self.assertEqual(read_state(self.store)[0], 'running')
         self.store.is_down = False
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -14,8 +14,8 @@
 from seampond.forwarding.models import Kind, Route
 from seampond.forwarding.progress import Outcome, Try
 from seampond.gateway.versions import RolloutVersions
-from seampond.rollouts import Rollouts
-from seampond.rollouts.desk import Limits
+from seampond.rollouts import RolloutManager
+from seampond.rollouts.manager import ExposureLimits
 from seampond.rollouts.models import Tally
 from seampond.sharing import hash_name
 from seampond.testing.gateways import (
@@ -42,8 +42,8 @@
         first = build_server('i-1', version=OLD, born_ms=100)
         other = build_server('i-2', version=NEW, born_ms=100)
         backends = build_backends([first, other], clock)
-        rollouts = Rollouts(
-            Limits(0.1, 50),
+        rollouts = RolloutManager(
+            ExposureLimits(0.1, 50),
             lambda: 1,
             backends.all_of_pool,
             lambda pool: True,
@@ -72,8 +72,8 @@
         """Know no answer yet."""
         self.clock = ManualClock(1000)
         places = build_places()
-        rollouts = Rollouts(
-            Limits(0.1, 50),
+        rollouts = RolloutManager(
+            ExposureLimits(0.1, 50),
             lambda: 1,
             lambda pool: places,
             lambda pool: True,
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -9,8 +9,8 @@
 from seampond.forwarding.job import Job
 from seampond.forwarding.progress import Outcome, Try
 from seampond.gateway.stalls import EventLoopStalls
-from seampond.rollouts import Rollouts
-from seampond.rollouts.slowness import LEAST_SLOWER_MS, Pace
+from seampond.rollouts import RolloutManager
+from seampond.rollouts.latency import MIN_SLOWDOWN_MS, LatencySample
 from seampond.sharing import hash_name
 
 _BAD = frozenset(
@@ -27,7 +27,7 @@
 class RolloutVersions:
     """Sends requests where the roll-outs want them."""
 
-    rollouts: Rollouts
+    rollouts: RolloutManager
     clock: Clock
     stalls: EventLoopStalls = field(default_factory=EventLoopStalls)
     rng: random.Random = field(default_factory=random.Random)
@@ -64,7 +64,7 @@
         )
 
 
-def _measure(job: Job, tried: Try, stalled_ms: int) -> Pace | None:
+def _measure(job: Job, tried: Try, stalled_ms: int) -> LatencySample | None:
     """Give what tells best how fast an answer was.
 
     Explanation
@@ -72,8 +72,8 @@
     What we did not see in time says nothing of the pauses of a stream.
     """
     if job.is_stream and tried.gap_ms:
-        return None if stalled_ms else Pace('gap', tried.gap_ms)
+        return None if stalled_ms else LatencySample('gap', tried.gap_ms)
     kind = 'first' if job.is_stream else 'answer'
     took_ms = tried.first_ms if tried.first_ms >= 0 else tried.took_ms
-    slower_ms = max(LEAST_SLOWER_MS, _NOTICED_PART * job.route.target_ms)
-    return Pace(kind, max(0, took_ms - stalled_ms), slower_ms)
+    slower_ms = max(MIN_SLOWDOWN_MS, _NOTICED_PART * job.route.target_ms)
+    return LatencySample(kind, max(0, took_ms - stalled_ms), slower_ms)
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -25,7 +25,7 @@
 from seampond.gateway.stalls import EventLoopStalls
 from seampond.gateway.versions import RolloutVersions
 from seampond.metrics.gateway import GatewayMetrics
-from seampond.permits.desk import Desk
+from seampond.permits.manager import PermitManager
 from seampond.platform import HEADERS
 from seampond.platform.names import (
     CONFIGURATION_TABLE,
@@ -37,7 +37,7 @@
 from seampond.quarantine.quarantine import Quarantine
 from seampond.quarantine.suspects import Suspects
 from seampond.quarantine.trials import Trials
-from seampond.rollouts import Report, Rollouts
+from seampond.rollouts import Report, RolloutManager
 from seampond.settings.gateway import BoundSettings, GatewaySettings
 from seampond.sharing import Peers, Quotas, hash_name
 from seampond.watches import StoreClock, TableFreshness
@@ -69,7 +69,7 @@
     backends: Backends,
     peers: Peers,
     store_time: StoreClock,
-) -> Rollouts:
+) -> RolloutManager:
     """Wire the roll-outs."""
 
     def has_pool(pool: str) -> bool:
@@ -85,7 +85,7 @@
             for heartbeat in heartbeats
         ]
 
-    return Rollouts(
+    return RolloutManager(
         make_exposure_limits(bounds),
         lambda: peers.count if peers.is_listed else 0,
         backends.all_of_pool,
@@ -146,7 +146,7 @@
     rollouts = make_rollouts(bounds, belief, backends, peers, store_time)
     stalls = EventLoopStalls()
     versions = RolloutVersions(rollouts, clock, stalls)
-    desk = Desk(
+    permit_manager = PermitManager(
         peers,
         clock,
         backends.take_limit,
@@ -154,7 +154,7 @@
         random.Random(),
         lambda outcome: metrics.permits.labels(outcome).inc(),
     )
-    backends.note_limit = desk.note_heard
+    backends.note_limit = permit_manager.note_heard
     scheduler = Scheduler(
         backends,
         settings.zone,
@@ -163,8 +163,8 @@
         promises,
         versions,
     )
-    scheduler.availability.permits = desk
-    desk.note_reply = scheduler.process_queues
+    scheduler.availability.permits = permit_manager
+    permit_manager.note_reply = scheduler.process_queues
     budget = RetryBudget(
         bounds.retry_ratio,
         bounds.retry_allowance,
@@ -246,6 +246,6 @@
         servers=ServerFollower(backends, scheduler),
         rollouts=RolloutFollower(rollouts, clock),
         quarantine=quarantine,
-        desk=desk,
+        permit_manager=permit_manager,
         stalls=stalls,
     )
--- a/seampond/permits/giver.py
+++ b/seampond/permits/issuer.py
@@ -4,15 +4,15 @@
 
 from seampond.clock import Clock
 from seampond.forwarding.server_limit import ServerLimit
-from seampond.permits.ledger import Ledger
-from seampond.permits.messages import Ask, Reply
+from seampond.permits.messages import PermitReply, PermitRequest
 from seampond.permits.owners import Owners
+from seampond.permits.token_buckets import TokenBuckets
 
 # How long the answer to a question that comes twice is the same.
 _ANSWER_MS = 1000
 
 
-class Giver:
+class PermitIssuer:
     """The buckets that we keep, for ourselves and for those that ask.
 
     Explanation
@@ -25,8 +25,8 @@
         """Start with empty buckets."""
         self._owners = owners
         self._clock = clock
-        self._ledger = Ledger(clock)
-        self._answers: dict[tuple[str, int], tuple[int, Reply]] = {}
+        self._ledger = TokenBuckets(clock)
+        self._answers: dict[tuple[str, int], tuple[int, PermitReply]] = {}
 
     def begin(self, key: int, limit: ServerLimit) -> None:
         """Let permits of a limit gather before anybody asks."""
@@ -60,12 +60,14 @@
         """Keep a permit for a caller; tell when it should come back."""
         return self._ledger.reserve(key, self._owners.share(limit.rate))
 
-    def answer(self, ask: Ask, refusal: Reply, rate: float) -> Reply:
+    def answer(
+        self, ask: PermitRequest, refusal: PermitReply, rate: float
+    ) -> PermitReply:
         """Give the answer to a question.
 
         Parameters
         ----------
-        refusal : Reply
+        refusal : PermitReply
             The answer of one that owns nothing.
         rate : float
             What the server takes a second.
@@ -91,7 +93,9 @@
             if answered_ms >= oldest_ms
         }
 
-    def _decide(self, ask: Ask, refusal: Reply, rate: float) -> Reply:
+    def _decide(
+        self, ask: PermitRequest, refusal: PermitReply, rate: float
+    ) -> PermitReply:
         ledger, key = self._ledger, ask.life
         if ask.reserves:
             return replace(refusal, return_ms=ledger.reserve(key, rate))
--- a/seampond/permits/desk.py
+++ b/seampond/permits/manager.py
@@ -10,10 +10,10 @@
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.retry_times import LATEST_MS
 from seampond.forwarding.server_limit import Permit, ServerLimit
-from seampond.permits.giver import Giver
-from seampond.permits.heard import Heard, make_word
-from seampond.permits.messages import Ask, Reply, Word
-from seampond.permits.owners import Gateways, Owners
+from seampond.permits.issuer import PermitIssuer
+from seampond.permits.messages import LimitReport, PermitReply, PermitRequest
+from seampond.permits.owners import GatewayDirectory, Owners
+from seampond.permits.recent_reports import RecentReports, make_report
 from seampond.sharing.hashing import hash_name
 
 # A few round trips between halls.
@@ -44,11 +44,11 @@
 class _Question:
     """One that an owner has not answered yet."""
 
-    ask: Ask
+    ask: PermitRequest
     limit: ServerLimit
 
 
-class Desk:
+class PermitManager:
     """Gives permits where we own a limit, and asks the owner elsewhere.
 
     Explanation
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    send : Callable[[str, Ask | Reply], None]
+    send : Callable[[str, PermitRequest | PermitReply], None]
         Sends to a gateway, by its name.
     note_reply : Callable[[], None]
         Called when an owner has answered.
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        gateways: Gateways,
+        gateways: GatewayDirectory,
         clock: Clock,
         take_word: Callable[[int, float | None, int], ServerLimit | None],
         note_urgent: Callable[[], None],
@@ -90,7 +90,9 @@
         count: Callable[[str], None] = _count_nothing,
     ) -> None:
         """Start owning nothing."""
-        self.send: Callable[[str, Ask | Reply], None] = _send_nothing
+        self.send: Callable[[str, PermitRequest | PermitReply], None] = (
+            _send_nothing
+        )
         self.note_reply: Callable[[], None] = _note_nothing
         self._gateways = gateways
         self._clock = clock
@@ -99,9 +101,9 @@
         self._rng = rng
         self._count = count
         self._owners = Owners(gateways)
-        self._giver = Giver(self._owners, clock)
+        self._giver = PermitIssuer(self._owners, clock)
         self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
-        self._heard = Heard(gateways, clock)
+        self._heard = RecentReports(gateways, clock)
         self._asked: dict[int, _Question] = {}
         self._reserving: dict[int, asyncio.Future[int]] = {}
 
@@ -207,15 +209,15 @@
             return
         self.ask(backend, 0)
 
-    def take_ask(self, ask: Ask) -> None:
+    def take_ask(self, ask: PermitRequest) -> None:
         """Answer a gateway that asks for a permit."""
         now_ms = self._clock.now()
         limit = self._take_word(
             ask.life, ask.word.rate, now_ms - ask.word.said_ago_ms
         )
         rate = ask.word.rate if limit is None else limit.rate
-        word = ask.word if limit is None else make_word(limit, now_ms)
-        reply = Reply(
+        word = ask.word if limit is None else make_report(limit, now_ms)
+        reply = PermitReply(
             self._gateways.name,
             ask.life,
             ask.number,
@@ -227,7 +229,7 @@
             reply = self._giver.answer(ask, reply, rate)
         self.send(ask.name, reply)
 
-    def take_reply(self, reply: Reply) -> None:
+    def take_reply(self, reply: PermitReply) -> None:
         """Take an owner's answer."""
         reserving = self._reserving.pop(reply.number, None)
         question = self._asked.pop(reply.number, None)
@@ -253,11 +255,11 @@
         if is_other:
             self._note_urgent()
 
-    def tell(self) -> Mapping[int, Word]:
+    def tell(self) -> Mapping[int, LimitReport]:
         """Give what answers to us have said of late, by key of the life."""
         return self._heard.tell()
 
-    def take_told(self, words: Mapping[int, Word]) -> None:
+    def take_told(self, words: Mapping[int, LimitReport]) -> None:
         """Take what another gateway has heard."""
         now_ms = self._clock.now()
         for key, word in words.items():
@@ -276,11 +278,15 @@
         if limit.is_named and self._owners.is_ours(key):
             self._giver.begin(key, limit)
 
-    def _make_ask(self, key: int, limit: ServerLimit, number: int) -> Ask:
-        word = make_word(limit, self._clock.now())
-        return Ask(self._gateways.name, key, number, word, patience_ms=0)
+    def _make_ask(
+        self, key: int, limit: ServerLimit, number: int
+    ) -> PermitRequest:
+        word = make_report(limit, self._clock.now())
+        return PermitRequest(
+            self._gateways.name, key, number, word, patience_ms=0
+        )
 
-    def _send_ask(self, ask: Ask) -> None:
+    def _send_ask(self, ask: PermitRequest) -> None:
         self.send(self._owners.find(ask.life), ask)
 
     async def _ask_to_reserve(self, key: int, limit: ServerLimit) -> int:
@@ -300,7 +306,7 @@
         finally:
             self._reserving.pop(number, None)
 
-    def _take_answer(self, limit: ServerLimit, reply: Reply) -> None:
+    def _take_answer(self, limit: ServerLimit, reply: PermitReply) -> None:
         if limit.number != reply.number or limit.asked_ms is None:
             return
         self._count('given' if reply.is_given else 'refused')
@@ -328,7 +334,7 @@
             self._send_ask(replace(ask, patience_ms=patience_ms))
 
 
-def _send_nothing(name: str, message: Ask | Reply) -> None:
+def _send_nothing(name: str, message: PermitRequest | PermitReply) -> None:
     """Send nothing."""
 
 
--- a/seampond/permits/messages.py
+++ b/seampond/permits/messages.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class LimitReport:
     """What a gateway knows of a limit.
 
     Parameters
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PermitRequest:
     """One gateway asks the owner of a limit for a permit.
 
     Parameters
@@ -59,14 +59,14 @@
     name: str
     life: int
     number: int
-    word: Word
+    word: LimitReport
     patience_ms: int
     for_retry: bool = False
     reserves: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class PermitReply:
     """The owner's answer.
 
     Parameters
@@ -83,7 +83,7 @@
     name: str
     life: int
     number: int
-    word: Word
+    word: LimitReport
     is_given: bool
     wait_ms: int
     return_ms: int = 0
@@ -99,12 +99,12 @@
     return packet.startswith(_START)
 
 
-def encode_permit(message: Ask | Reply) -> bytes:
+def encode_permit(message: PermitRequest | PermitReply) -> bytes:
     """Encode one datagram.
 
     Examples
     --------
-    >>> ask = Ask('g1', 7, 3, Word(1.5, 20), 200)
+    >>> ask = PermitRequest('g1', 7, 3, LimitReport(1.5, 20), 200)
     >>> decode_permit(encode_permit(ask)) == ask
     True
 
@@ -116,7 +116,7 @@
         'rate': encode_rate(message.word.rate),
         'saidAgoMs': min(message.word.said_ago_ms, _MAX_UINT32),
     }
-    if isinstance(message, Ask):
+    if isinstance(message, PermitRequest):
         fields['ask'] = {
             'patienceMs': message.patience_ms,
             'forReturn': message.for_retry,
@@ -132,17 +132,21 @@
     return _START + packed
 
 
-def _read(reader: Any) -> Ask | Reply:
-    word = Word(decode_rate(reader.rate), reader.saidAgoMs)
+def _read(reader: Any) -> PermitRequest | PermitReply:
+    word = LimitReport(decode_rate(reader.rate), reader.saidAgoMs)
     common = (reader.name, reader.life, reader.number, word)
     if reader.which() == 'ask':
         ask = reader.ask
-        return Ask(*common, ask.patienceMs, ask.forReturn, ask.reserves)
+        return PermitRequest(
+            *common, ask.patienceMs, ask.forReturn, ask.reserves
+        )
     reply = reader.reply
-    return Reply(*common, reply.isGiven, reply.waitMs, reply.returnMs)
+    return PermitReply(*common, reply.isGiven, reply.waitMs, reply.returnMs)
 
 
-def decode_permit(packet: bytes, *, peer: str = '') -> Ask | Reply:
+def decode_permit(
+    packet: bytes, *, peer: str = ''
+) -> PermitRequest | PermitReply:
     """Decode one datagram.
 
     Raises
--- a/seampond/permits/owners.py
+++ b/seampond/permits/owners.py
@@ -8,7 +8,7 @@
 _LEAST_RATE = 0.25
 
 
-class Gateways(Protocol):
+class GatewayDirectory(Protocol):
     """The gateways that share the limits."""
 
     name: str
@@ -40,7 +40,7 @@
     for its own.
     """
 
-    def __init__(self, gateways: Gateways) -> None:
+    def __init__(self, gateways: GatewayDirectory) -> None:
         """Start without having worked out any."""
         self._gateways = gateways
         self._owners: dict[int, str] = {}
--- a/seampond/permits/heard.py
+++ b/seampond/permits/recent_reports.py
@@ -4,8 +4,8 @@
 
 from seampond.clock import Clock
 from seampond.forwarding.server_limit import ServerLimit
-from seampond.permits.messages import Word
-from seampond.permits.owners import Gateways
+from seampond.permits.messages import LimitReport
+from seampond.permits.owners import GatewayDirectory
 
 # Some heartbeats, of which some may be lost.
 _TOLD_BEATS = 3
@@ -13,15 +13,15 @@
 _TOLD_MAX = 32
 
 
-def make_word(limit: ServerLimit, now_ms: int) -> Word:
+def make_report(limit: ServerLimit, now_ms: int) -> LimitReport:
     """Give what is known of a limit, with its age."""
-    return Word(limit.rate, max(0, now_ms - (limit.said_ms or now_ms)))
+    return LimitReport(limit.rate, max(0, now_ms - (limit.said_ms or now_ms)))
 
 
-class Heard:
+class RecentReports:
     """The limits of which answers to us have spoken of late."""
 
-    def __init__(self, gateways: Gateways, clock: Clock) -> None:
+    def __init__(self, gateways: GatewayDirectory, clock: Clock) -> None:
         """Start with none."""
         self._gateways = gateways
         self._clock = clock
@@ -34,7 +34,7 @@
         since_ms = now_ms if is_other else self._limits.get(key, (limit, 0))[1]
         self._limits[key] = (limit, since_ms)
 
-    def tell(self) -> Mapping[int, Word]:
+    def tell(self) -> Mapping[int, LimitReport]:
         """Give the newest words, by key of the life; forget old ones."""
         now_ms = self._clock.now()
         told_ms = max(
@@ -49,7 +49,7 @@
             self._limits.items(), key=lambda known: -_last_ms(*known[1])
         )
         return {
-            key: make_word(limit, now_ms)
+            key: make_report(limit, now_ms)
             for key, (limit, _) in newest[:_TOLD_MAX]
         }
 
--- a/seampond/permits/tests/test_desk.py
+++ b/seampond/permits/tests/test_manager.py
@@ -9,11 +9,11 @@
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.server_signals import ServerSignals
-from seampond.permits.desk import Desk
+from seampond.permits.manager import PermitManager
 from seampond.permits.messages import (
-    Ask,
-    Reply,
-    Word,
+    LimitReport,
+    PermitReply,
+    PermitRequest,
     decode_permit,
     encode_permit,
 )
@@ -43,7 +43,7 @@
         self.backends = Backends(clock, NAMES.request_id, hash_name=hash_name)
         self.backends.keep_only([build_server('i-1', born_ms=7)])
         self.counted: list[str] = []
-        self.desk = Desk(
+        self.permit_manager = PermitManager(
             self.peers,
             clock,
             self.backends.take_limit,
@@ -51,9 +51,9 @@
             random.Random(1),
             self.counted.append,
         )
-        self.backends.note_limit = self.desk.note_heard
-        self.sent: list[tuple[str, Ask | Reply]] = []
-        self.desk.send = lambda *sent: self.sent.append(sent)
+        self.backends.note_limit = self.permit_manager.note_heard
+        self.sent: list[tuple[str, PermitRequest | PermitReply]] = []
+        self.permit_manager.send = lambda *sent: self.sent.append(sent)
 
     @property
     def backend(self) -> Backend:
@@ -63,7 +63,7 @@
     @property
     def is_owner(self) -> bool:
         """Whether it owns the limit of the one server."""
-        return self.desk.may_send(self.backend)
+        return self.permit_manager.may_send(self.backend)
 
     def hear_all(self) -> None:
         """Hear the other gateways."""
@@ -83,7 +83,7 @@
         self.backends.apply_signals(self.backend, words, self.clock.now())
 
 
-class DeskTest(unittest.TestCase):
+class PermitManagerTest(unittest.TestCase):
     """Two gateways, one of which owns the limit."""
 
     def setUp(self) -> None:
@@ -109,16 +109,16 @@
     def exchange(self) -> None:
         """Deliver what was asked, and what is answered."""
         for _, ask in self.asker.sent:
-            assert isinstance(ask, Ask)
-            self.owner.desk.take_ask(ask)
+            assert isinstance(ask, PermitRequest)
+            self.owner.permit_manager.take_ask(ask)
         self.asker.sent.clear()
         self.answer()
 
     def answer(self) -> None:
         """Deliver what is answered."""
         for _, reply in self.owner.sent:
-            assert isinstance(reply, Reply)
-            self.asker.desk.take_reply(reply)
+            assert isinstance(reply, PermitReply)
+            self.asker.permit_manager.take_reply(reply)
         self.owner.sent.clear()
 
     def reserve(self) -> int | None:
@@ -126,7 +126,7 @@
 
         async def work() -> int | None:
             reserving = asyncio.create_task(
-                self.asker.desk.reserve(self.asker.backend)
+                self.asker.permit_manager.reserve(self.asker.backend)
             )
             await asyncio.sleep(0)
             self.exchange()
@@ -134,83 +134,87 @@
 
         return asyncio.run(work())
 
-    def answer_as_before(self, ask: Ask) -> None:
+    def answer_as_before(self, ask: PermitRequest) -> None:
         """Answer like a build that knows no reserved times."""
-        reply = Reply('g', ask.life, ask.number, ask.word, False, 200)
+        reply = PermitReply('g', ask.life, ask.number, ask.word, False, 200)
         self.owner.sent.append((ask.name, reply))
 
     def test_one_owns_it_and_gives_permits(self) -> None:
         """Each is for one request."""
-        self.assertFalse(self.asker.desk.may_send(self.asker.backend))
-        self.asker.desk.ask(self.asker.backend, 0)
+        self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
+        self.asker.permit_manager.ask(self.asker.backend, 0)
         self.exchange()
-        self.assertTrue(self.asker.desk.may_send(self.asker.backend))
-        permit = self.asker.desk.take(self.asker.backend)
+        self.assertTrue(self.asker.permit_manager.may_send(self.asker.backend))
+        permit = self.asker.permit_manager.take(self.asker.backend)
         assert permit is not None
         self.assertTrue(permit.may_send(self.clock.now()))
-        self.assertFalse(self.asker.desk.may_send(self.asker.backend))
+        self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
         self.assertEqual(self.asker.counted, ['given'])
 
     def test_permit_that_is_given_ahead(self) -> None:
         """It holds after the wait, and not for ever."""
-        while self.owner.desk.may_send(self.owner.backend):
-            self.owner.desk.take(self.owner.backend)
-        self.asker.desk.ask(self.asker.backend, _SECOND_MS)
+        while self.owner.permit_manager.may_send(self.owner.backend):
+            self.owner.permit_manager.take(self.owner.backend)
+        self.asker.permit_manager.ask(self.asker.backend, _SECOND_MS)
         self.exchange()
-        self.assertFalse(self.asker.desk.may_send(self.asker.backend))
+        self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
         self.advance(500)
-        self.assertTrue(self.asker.desk.may_send(self.asker.backend))
+        self.assertTrue(self.asker.permit_manager.may_send(self.asker.backend))
         self.advance(500)
-        self.assertFalse(self.asker.desk.may_send(self.asker.backend))
+        self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
 
     def test_refusal_says_when(self) -> None:
         """Nobody asks before."""
-        while self.owner.desk.may_send(self.owner.backend):
-            self.owner.desk.take(self.owner.backend)
-        self.asker.desk.ask(self.asker.backend, 100)
+        while self.owner.permit_manager.may_send(self.owner.backend):
+            self.owner.permit_manager.take(self.owner.backend)
+        self.asker.permit_manager.ask(self.asker.backend, 100)
         self.exchange()
-        available_ms = self.asker.desk.available_ms(self.asker.backend)
+        available_ms = self.asker.permit_manager.available_ms(
+            self.asker.backend
+        )
         self.assertGreater(available_ms, self.clock.now() + 100)
         self.assertEqual(self.asker.counted, ['refused'])
 
     def test_doubled_question_and_answer(self) -> None:
         """The second permit is lost, not used twice."""
-        self.asker.desk.ask(self.asker.backend, 0)
+        self.asker.permit_manager.ask(self.asker.backend, 0)
         self.asker.sent *= 2
         self.exchange()
         self.assertEqual(len(self.asker.backend.signals.limit.permits), 1)
 
     def test_lost_answer(self) -> None:
         """Asked again a little later; the late one counts no more."""
-        self.asker.desk.ask(self.asker.backend, 0)
+        self.asker.permit_manager.ask(self.asker.backend, 0)
         for _, ask in self.asker.sent:
-            assert isinstance(ask, Ask)
-            self.owner.desk.take_ask(ask)
+            assert isinstance(ask, PermitRequest)
+            self.owner.permit_manager.take_ask(ask)
         self.advance(_LOST_MS)
-        available_ms = self.asker.desk.available_ms(self.asker.backend)
+        available_ms = self.asker.permit_manager.available_ms(
+            self.asker.backend
+        )
         self.assertGreater(available_ms, self.clock.now())
         self.answer()
-        self.assertFalse(self.asker.desk.may_send(self.asker.backend))
+        self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
         self.assertEqual(self.asker.counted, ['lost'])
 
     def test_question_whose_answer_is_lost(self) -> None:
         """Guards against a permit, or a reserved one, that is lost with it."""
-        while self.owner.desk.may_send(self.owner.backend):
-            self.owner.desk.take(self.owner.backend)
-        self.asker.desk.ask(self.asker.backend, _SECOND_MS)
+        while self.owner.permit_manager.may_send(self.owner.backend):
+            self.owner.permit_manager.take(self.owner.backend)
+        self.asker.permit_manager.ask(self.asker.backend, _SECOND_MS)
         ask = self.asker.sent[-1][1]
-        assert isinstance(ask, Ask)
-        self.owner.desk.take_ask(ask)
+        assert isinstance(ask, PermitRequest)
+        self.owner.permit_manager.take_ask(ask)
         lost = self.owner.sent.pop()[1]
         self.asker.sent.clear()
         self.advance(_RESEND_MS)
-        self.asker.desk.look_after()
+        self.asker.permit_manager.look_after()
         again = self.asker.sent[-1][1]
-        assert isinstance(again, Ask)
-        self.owner.desk.take_ask(again)
+        assert isinstance(again, PermitRequest)
+        self.owner.permit_manager.take_ask(again)
         reply = self.owner.sent[-1][1]
-        assert isinstance(lost, Reply)
-        assert isinstance(reply, Reply)
+        assert isinstance(lost, PermitReply)
+        assert isinstance(reply, PermitReply)
         self.assertTrue(reply.is_given)
         self.assertEqual(reply.wait_ms, lost.wait_ms - _RESEND_MS)
         self.answer()
@@ -220,7 +224,7 @@
         """The limit is over: the asker hears it with the answer."""
         self.advance(1)
         self.owner.say(None)
-        self.asker.desk.ask(self.asker.backend, 0)
+        self.asker.permit_manager.ask(self.asker.backend, 0)
         self.exchange()
         self.assertFalse(self.asker.backend.signals.limit.is_named)
 
@@ -230,7 +234,7 @@
         self.owner.say(None)
         self.advance(1)
         self.asker.say(3)
-        self.asker.desk.ask(self.asker.backend, 0)
+        self.asker.permit_manager.ask(self.asker.backend, 0)
         self.exchange()
         self.assertEqual(self.owner.backend.signals.limit.rate, 3)
 
@@ -238,48 +242,52 @@
         """Its row comes later; the permits count from the first question."""
         self.owner.backends.keep_only([])
         for _ in range(2):
-            self.asker.desk.ask(self.asker.backend, 0)
+            self.asker.permit_manager.ask(self.asker.backend, 0)
             self.exchange()
             self.advance(_SECOND_MS)
         self.assertEqual(self.asker.counted, ['given', 'given'])
 
     def test_who_is_not_the_owner_gives_nothing(self) -> None:
         """It was asked by one that knows other gateways."""
-        ask = Ask('g9', hash_name('i-1/7'), 1, Word(_RATE, 0), _SECOND_MS)
-        self.asker.desk.take_ask(ask)
+        ask = PermitRequest(
+            'g9', hash_name('i-1/7'), 1, LimitReport(_RATE, 0), _SECOND_MS
+        )
+        self.asker.permit_manager.take_ask(ask)
         reply = self.asker.sent[-1][1]
-        assert isinstance(reply, Reply)
+        assert isinstance(reply, PermitReply)
         self.assertFalse(reply.is_given)
 
     def test_each_reserved_time_is_another(self) -> None:
         """Guards against callers that are told to come back together."""
         times = [self.reserve() for _ in range(3)]
-        own_ms = asyncio.run(self.owner.desk.reserve(self.owner.backend))
+        own_ms = asyncio.run(
+            self.owner.permit_manager.reserve(self.owner.backend)
+        )
         self.assertEqual(len({*times, own_ms}), 4)
         self.assertEqual(set(self.asker.counted), {'reserved'})
 
     def test_reserved_permit_is_kept_for_its_caller(self) -> None:
         """Guards against first tries that take it, at any gateway."""
-        while self.owner.desk.may_send(self.owner.backend):
-            self.owner.desk.take(self.owner.backend)
+        while self.owner.permit_manager.may_send(self.owner.backend):
+            self.owner.permit_manager.take(self.owner.backend)
         wait_ms = self.reserve()
         assert wait_ms is not None
         self.advance(wait_ms)
-        self.assertFalse(self.owner.desk.may_send(self.owner.backend))
-        self.asker.desk.ask(self.asker.backend, 0)
+        self.assertFalse(self.owner.permit_manager.may_send(self.owner.backend))
+        self.asker.permit_manager.ask(self.asker.backend, 0)
         self.exchange()
-        self.asker.desk.ask(self.asker.backend, 0, for_retry=True)
+        self.asker.permit_manager.ask(self.asker.backend, 0, for_retry=True)
         self.exchange()
         self.assertEqual(self.asker.counted, ['reserved', 'refused', 'given'])
 
     def test_owner_of_an_earlier_build_reserves_nothing(self) -> None:
         """Its answer tells of no time."""
-        self.owner.desk.take_ask = self.answer_as_before  # type: ignore
+        self.owner.permit_manager.take_ask = self.answer_as_before  # type: ignore
         self.assertIsNone(self.reserve())
 
     def test_owner_that_does_not_answer(self) -> None:
         """The caller is not kept waiting."""
-        reserving = self.asker.desk.reserve(self.asker.backend)
+        reserving = self.asker.permit_manager.reserve(self.asker.backend)
         self.assertIsNone(asyncio.run(reserving))
         self.assertEqual(self.asker.counted, ['not-reserved'])
 
@@ -290,9 +298,12 @@
         self.asker.hear(self.owner.peers.name, gives_permits=False)
         self.clock.advance(100)
         for side in self.sides:
-            while side.desk.may_send(side.backend):
-                side.desk.take(side.backend)
-            wait_ms = side.desk.available_ms(side.backend) - self.clock.now()
+            while side.permit_manager.may_send(side.backend):
+                side.permit_manager.take(side.backend)
+            wait_ms = (
+                side.permit_manager.available_ms(side.backend)
+                - self.clock.now()
+            )
             self.assertGreater(wait_ms, _SECOND_MS / _RATE)
 
     def test_gateway_that_does_not_know_the_others_yet(self) -> None:
@@ -311,7 +322,7 @@
         for name in names:
             self.owner.hear(name)
         self.clock.advance(100)
-        self.owner.desk.look_after()
+        self.owner.permit_manager.look_after()
         self.assertFalse(self.owner.is_owner)
         self.owner.peers.take_rows((name, '') for name in names)
         self.clock.advance(100)
@@ -324,11 +335,13 @@
         self.advance(1)
         self.asker.say(None)
         key = hash_name('i-1/7')
-        self.assertEqual(self.asker.desk.tell(), {key: Word(None, 0)})
-        self.owner.desk.take_told(self.asker.desk.tell())
+        self.assertEqual(
+            self.asker.permit_manager.tell(), {key: LimitReport(None, 0)}
+        )
+        self.owner.permit_manager.take_told(self.asker.permit_manager.tell())
         self.assertFalse(self.owner.backend.signals.limit.is_named)
         self.advance(10 * _SECOND_MS)
-        self.assertEqual(self.asker.desk.tell(), {})
+        self.assertEqual(self.asker.permit_manager.tell(), {})
 
 
 class MessageTest(unittest.TestCase):
@@ -337,19 +350,23 @@
     def test_round_trip(self) -> None:
         """What is decoded is what was encoded."""
         for rate in (None, 0, 0.2, 1_000_000):
-            word = Word(rate, 20)
+            word = LimitReport(rate, 20)
             for message in (
-                Ask('g1', 7, 3, word, 210),
-                Ask('g1', 7, 3, word, 0, for_retry=True, reserves=True),
-                Reply('g2', 7, 3, word, True, 40),
-                Reply('g2', 7, 3, word, False, 40, return_ms=900),
+                PermitRequest('g1', 7, 3, word, 210),
+                PermitRequest(
+                    'g1', 7, 3, word, 0, for_retry=True, reserves=True
+                ),
+                PermitReply('g2', 7, 3, word, True, 40),
+                PermitReply('g2', 7, 3, word, False, 40, return_ms=900),
             ):
                 read = decode_permit(encode_permit(message))
                 self.assertEqual(read, message)
 
     def test_earlier_builds_drop_them(self) -> None:
         """They take every datagram for a heartbeat."""
-        packet = encode_permit(Ask('g1', 7, 3, Word(1.5, 20), 210))
+        packet = encode_permit(
+            PermitRequest('g1', 7, 3, LimitReport(1.5, 20), 210)
+        )
         with self.assertRaises(ForeignMessageError):
             decode(packet)
 
--- a/seampond/permits/ledger.py
+++ b/seampond/permits/token_buckets.py
@@ -67,7 +67,7 @@
         return needed
 
 
-class Ledger:
+class TokenBuckets:
     """One bucket for each life of a server with a limit.
 
     Explanation
@@ -80,7 +80,7 @@
     --------
     >>> from seampond.clock import ManualClock
     >>> clock = ManualClock()
-    >>> ledger = Ledger(clock)
+    >>> ledger = TokenBuckets(clock)
     >>> ledger.give(7, 2.0, 100), ledger.wait_ms(7, 2.0)
     (None, 500)
     >>> clock.advance(450)
@@ -178,7 +178,7 @@
         Examples
         --------
         >>> from seampond.clock import ManualClock
-        >>> ledger = Ledger(ManualClock())
+        >>> ledger = TokenBuckets(ManualClock())
         >>> [ledger.reserve(7, 4.0) for _ in range(3)]
         [250, 964, 1678]
         >>> ledger.wait_ms(7, 4.0), ledger.wait_ms(7, 4.0, for_retry=True)
--- a/seampond/platform/quarantine.py
+++ b/seampond/platform/quarantine.py
@@ -9,7 +9,7 @@
 from seampond.platform import names
 from seampond.platform.rows import Count, decode_row
 from seampond.platform.store import RowChange, StoreTable
-from seampond.quarantine.fingerprints import show
+from seampond.quarantine.fingerprints import format_fingerprint
 from seampond.quarantine.models import TrialRow
 from seampond.watches import Row
 
@@ -52,7 +52,7 @@
 
     async def write_trial(self, request: int, row: TrialRow) -> None:
         """Write a row if the one that is there has this row's version."""
-        name = (names.QUARANTINE_TABLE, show(request))
+        name = (names.QUARANTINE_TABLE, format_fingerprint(request))
         content = msgspec.json.encode(_Trial(row.trials, row.at_ms))
         await self._table.change(
             RowChange({name: row.version}, {name: content})
@@ -60,7 +60,7 @@
 
     async def drop_trial(self, request: int, version: int) -> None:
         """Remove a row if it still has this version."""
-        await self._table.remove(show(request), version)
+        await self._table.remove(format_fingerprint(request), version)
 
 
 def _read(row: Row) -> TrialRow:
--- a/seampond/quarantine/fingerprints.py
+++ b/seampond/quarantine/fingerprints.py
@@ -32,12 +32,12 @@
     return int.from_bytes(digest.digest())
 
 
-def show(key: int) -> str:
+def format_fingerprint(key: int) -> str:
     """Give a key as logs and the store name it.
 
     Examples
     --------
-    >>> show(255)
+    >>> format_fingerprint(255)
     '00000000000000ff'
 
     """
--- a/seampond/quarantine/models.py
+++ b/seampond/quarantine/models.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Crash:
     """A server's life that ended while a request ran on it.
 
     Parameters
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldEnd:
+class CrashReport:
     """An end as one gateway tells it, with ages in place of moments.
 
     Parameters
--- a/seampond/quarantine/quarantine.py
+++ b/seampond/quarantine/quarantine.py
@@ -11,9 +11,9 @@
 from seampond.forwarding.job import Job
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.server import Server
-from seampond.quarantine.fingerprints import show
-from seampond.quarantine.models import ToldEnd
-from seampond.quarantine.suspects import QUARANTINE_STRIKES, Suspects
+from seampond.quarantine.fingerprints import format_fingerprint
+from seampond.quarantine.models import CrashReport
+from seampond.quarantine.suspects import QUARANTINE_CRASHES, Suspects
 from seampond.quarantine.trials import Trials
 
 # How long a copy waits for the one that is under way, as a part of the target.
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeftRun:
+class AbandonedRun:
     """A run that we gave up, whose server may still be at work on it."""
 
     request: int
@@ -78,14 +78,14 @@
         self._clock = clock
         self._open: Counter[int] = Counter()
         self._ended = asyncio.Event()
-        self._left: deque[LeftRun] = deque(maxlen=_LEFT_MAX)
+        self._left: deque[AbandonedRun] = deque(maxlen=_LEFT_MAX)
         self._drops: set[asyncio.Task[None]] = set()
 
     def is_quarantined(self, job: Job) -> bool:
         """Tell whether a request may be sent on trial only."""
         request = job.fingerprint
         strikes = self.suspects.count_strikes(request)
-        return strikes >= QUARANTINE_STRIKES or self.trials.is_quarantined(
+        return strikes >= QUARANTINE_CRASHES or self.trials.is_quarantined(
             request
         )
 
@@ -140,7 +140,9 @@
             job.is_trial = job.is_trial and job.attempts == sends
             self._leave(request)
 
-    def take(self, ends: Iterable[ToldEnd], good: Mapping[int, int]) -> None:
+    def take(
+        self, ends: Iterable[CrashReport], good: Mapping[int, int]
+    ) -> None:
         """Take what another gateway tells."""
         self.suspects.take(ends, good)
         self.trials.forget(good)
@@ -165,7 +167,9 @@
         """Note that a run was given up while its server was at work."""
         life = self._hash_name(server.life)
         now_ms = self._clock.now()
-        self._left.append(LeftRun(job.fingerprint, life, started_ms, now_ms))
+        self._left.append(
+            AbandonedRun(job.fingerprint, life, started_ms, now_ms)
+        )
 
     def note_good(self, job: Job) -> None:
         """Note that a server has answered a request and lives."""
@@ -176,7 +180,7 @@
         if self.trials.is_quarantined(job.fingerprint):
             _logger.info(
                 'request out of quarantine',
-                extra={'fingerprint': show(job.fingerprint)},
+                extra={'fingerprint': format_fingerprint(job.fingerprint)},
             )
             drop = asyncio.create_task(self.trials.drop(job.fingerprint))
             self._drops.add(drop)
@@ -189,10 +193,13 @@
         if strikes == before:
             return
         self._tell()
-        if strikes >= QUARANTINE_STRIKES:
+        if strikes >= QUARANTINE_CRASHES:
             _logger.warning(
                 'request in quarantine',
-                extra={'fingerprint': show(request), 'ends': strikes},
+                extra={
+                    'fingerprint': format_fingerprint(request),
+                    'ends': strikes,
+                },
             )
 
     def _leave(self, request: int) -> None:
@@ -236,7 +243,7 @@
             'request on trial',
             extra={
                 'request': job.request_id.decode('latin-1'),
-                'fingerprint': show(job.fingerprint),
+                'fingerprint': format_fingerprint(job.fingerprint),
             },
         )
 
--- a/seampond/quarantine/suspects.py
+++ b/seampond/quarantine/suspects.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 
 from seampond.clock import MS_PER_DAY, MS_PER_MINUTE, Clock
-from seampond.quarantine.models import End, ToldEnd
+from seampond.quarantine.models import Crash, CrashReport
 
 # From so many ends on a request is sent on trial only.  One end cuts sound
 # requests too; of those two servers in a row have ended under few.
-QUARANTINE_STRIKES = 2
+QUARANTINE_CRASHES = 2
 # A good answer within this time before an end: the request is sound at least
 # now and then.
 _PROVEN_MS = 10_000
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    ends : dict[int, End]
+    ends : dict[int, Crash]
         By key of the server's life.
     own : set[int]
         The lives whose ends we have seen ourselves.
@@ -45,7 +45,7 @@
 
     """
 
-    ends: dict[int, End] = field(default_factory=dict)
+    ends: dict[int, Crash] = field(default_factory=dict)
     own: set[int] = field(default_factory=set)
     is_proven: bool = False
 
@@ -141,7 +141,7 @@
 
     def note_end(self, request: int, life: int, started_ms: int) -> None:
         """Note that a server ended under a request of ours."""
-        end = End(life, started_ms, self._clock.now())
+        end = Crash(life, started_ms, self._clock.now())
         self._add(request, end, is_proven=self.was_good(request))
         suspect = self._suspects.get(request)
         if suspect is not None:
@@ -160,7 +160,7 @@
         self._note_cleared(request, self._clock.now())
         return self._clear(request, self._clock.now())
 
-    def tell_ends(self) -> list[ToldEnd]:
+    def tell_ends(self) -> list[CrashReport]:
         """Give what the others should know.
 
         Explanation
@@ -176,7 +176,7 @@
             reverse=True,
         )
         told = [
-            ToldEnd(
+            CrashReport(
                 request,
                 end.life,
                 max(0, now_ms - end.started_ms),
@@ -185,7 +185,7 @@
             )
             for request, suspect in by_strikes
             for end in suspect.ends.values()
-            if suspect.strikes >= QUARANTINE_STRIKES
+            if suspect.strikes >= QUARANTINE_CRASHES
             or (end.life in suspect.own and now_ms - end.at_ms < _TOLD_MS)
         ]
         return told[:_TOLD_MAX]
@@ -200,11 +200,13 @@
             if now_ms - at_ms < _TOLD_MS
         }
 
-    def take(self, ends: Iterable[ToldEnd], good: Mapping[int, int]) -> None:
+    def take(
+        self, ends: Iterable[CrashReport], good: Mapping[int, int]
+    ) -> None:
         """Take what another gateway tells."""
         now_ms = self._clock.now()
         for told in ends:
-            end = End(
+            end = Crash(
                 told.life,
                 now_ms - told.started_ago_ms,
                 now_ms - told.ended_ago_ms,
@@ -215,7 +217,7 @@
             self._clear(request, now_ms - ago_ms)
         self._forget()
 
-    def _add(self, request: int, end: End, *, is_proven: bool) -> None:
+    def _add(self, request: int, end: Crash, *, is_proven: bool) -> None:
         good_ms = max(
             self._good_ms.get(request, end.at_ms - 1),
             self._cleared_ms.get(request, end.at_ms - 1),
@@ -259,7 +261,7 @@
             return
         self._forget_ms = now_ms + _LOOK_MS
         for request, suspect in list(self._suspects.items()):
-            is_held = suspect.strikes >= QUARANTINE_STRIKES
+            is_held = suspect.strikes >= QUARANTINE_CRASHES
             kept_ms = _FORGET_QUARANTINED_MS if is_held else _FORGET_MS
             if now_ms - suspect.last_ms > kept_ms:
                 self._suspects.pop(request)
--- a/seampond/quarantine/tests/test_suspects.py
+++ b/seampond/quarantine/tests/test_suspects.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from seampond.clock import ManualClock
-from seampond.quarantine.models import ToldEnd
-from seampond.quarantine.suspects import QUARANTINE_STRIKES, Suspects
+from seampond.quarantine.models import CrashReport
+from seampond.quarantine.suspects import QUARANTINE_CRASHES, Suspects
 
 _REQUEST = 7
 
@@ -35,7 +35,7 @@
         self.clock.advance(1000)
         self.assertTrue(self.suspects.note_good(_REQUEST))
         late = [
-            ToldEnd(end.request, end.life, end.started_ago_ms, 900)
+            CrashReport(end.request, end.life, end.started_ago_ms, 900)
             for end in told
         ]
         self.suspects.take(late, {})
@@ -61,7 +61,7 @@
 
     def test_memory_is_bounded(self) -> None:
         """Requests that are never the same; the gravest are kept."""
-        for life in range(QUARANTINE_STRIKES):
+        for life in range(QUARANTINE_CRASHES):
             self.suspects.note_end(_REQUEST, life, self.clock.now())
         for request in range(100, 5100):
             self.suspects.note_end(request, 1, self.clock.now())
@@ -70,17 +70,17 @@
         self.assertLess(len(self.suspects), 1200)
         self.assertLessEqual(len(self.suspects.tell_ends()), 64)
         strikes = self.suspects.count_strikes(_REQUEST)
-        self.assertEqual(strikes, QUARANTINE_STRIKES)
+        self.assertEqual(strikes, QUARANTINE_CRASHES)
 
     def test_old_evidence_is_forgotten(self) -> None:
         """One end after ten minutes, a quarantine after a day."""
         self.suspects.note_end(1, 1, self.clock.now())
-        for life in range(QUARANTINE_STRIKES):
+        for life in range(QUARANTINE_CRASHES):
             self.suspects.note_end(2, life, self.clock.now())
         self.clock.advance(601_000)
         self.suspects.take([], {})
         self.assertEqual(self.suspects.count_strikes(1), 0)
-        self.assertEqual(self.suspects.count_strikes(2), QUARANTINE_STRIKES)
+        self.assertEqual(self.suspects.count_strikes(2), QUARANTINE_CRASHES)
         self.clock.advance(86_400_000)
         self.suspects.take([], {})
         self.assertEqual(len(self.suspects), 0)
@@ -100,7 +100,7 @@
         ends = drawn.draw(
             st.lists(
                 st.builds(
-                    ToldEnd,
+                    CrashReport,
                     st.just(_REQUEST),
                     st.integers(0, 3),
                     st.integers(500, 900),
--- a/seampond/quarantine/trials.py
+++ b/seampond/quarantine/trials.py
@@ -14,7 +14,7 @@
 
 from seampond.clock import MS_PER_DAY, MS_PER_MINUTE, MS_PER_SECOND, Clock
 from seampond.errors import ConflictError, PlatformError
-from seampond.quarantine.fingerprints import show
+from seampond.quarantine.fingerprints import format_fingerprint
 from seampond.quarantine.models import TrialRow
 from seampond.watches import StoreClock, era_of
 
@@ -113,7 +113,10 @@
         except PlatformError as error:
             _logger.warning(
                 'quarantine not lifted in the store',
-                extra={'fingerprint': show(request), 'reason': error.message},
+                extra={
+                    'fingerprint': format_fingerprint(request),
+                    'reason': error.message,
+                },
             )
 
     def forget(self, requests: Iterable[int]) -> None:
@@ -197,5 +200,8 @@
         self._failed_until_ms = self._clock.now() + _FAILED_PAUSE_MS
         _logger.warning(
             'no leave for a trial',
-            extra={'fingerprint': show(request), 'reason': error.message},
+            extra={
+                'fingerprint': format_fingerprint(request),
+                'reason': error.message,
+            },
         )
--- a/seampond/rollouts/__init__.py
+++ b/seampond/rollouts/__init__.py
@@ -3,7 +3,7 @@
 Decisions only: no socket, no task, no clock but the times passed in.
 """
 
-from seampond.rollouts.desk import Rollouts as Rollouts
+from seampond.rollouts.manager import RolloutManager as RolloutManager
 from seampond.rollouts.models import Change as Change
 from seampond.rollouts.models import Order as Order
 from seampond.rollouts.models import Report as Report
--- a/seampond/rollouts/slowness.py
+++ b/seampond/rollouts/latency.py
@@ -12,11 +12,11 @@
 _SLOW_FACTOR = 1.5
 # What a gateway's own work adds to an answer: of 112 that a server gave at once
 # 8 took over 1.5 times as long as nine in ten (two gateways in one process).
-LEAST_SLOWER_MS = 20
+MIN_SLOWDOWN_MS = 20
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class LatencySample:
     """What an answer's speed is told by, and in which unit.
 
     Parameters
@@ -32,18 +32,18 @@
 
     kind: str
     took_ms: float
-    slower_ms: float = LEAST_SLOWER_MS
+    slower_ms: float = MIN_SLOWDOWN_MS
 
 
-class Slowness:
+class LatencyBaseline:
     """The speed of the old version's last answers, by route.
 
     Examples
     --------
-    >>> slowness = Slowness()
+    >>> slowness = LatencyBaseline()
     >>> for took_ms in range(20, 40):
-    ...     slowness.note(1, Pace('gap', took_ms))
-    >>> [slowness.is_slow(1, Pace('gap', took_ms)) for took_ms in (50, 90)]
+    ...     slowness.note(1, LatencySample('gap', took_ms))
+    >>> [slowness.is_slow(1, LatencySample('gap', took_ms)) for took_ms in (50, 90)]
     [False, True]
 
     """
@@ -54,7 +54,7 @@
             OrderedDict()
         )
 
-    def note(self, route: int, pace: Pace) -> None:
+    def note(self, route: int, pace: LatencySample) -> None:
         """Take the speed of one answer of the old version."""
         key = (route, pace.kind)
         samples = self._samples.setdefault(key, deque(maxlen=_SAMPLES))
@@ -63,7 +63,7 @@
         if len(self._samples) > _ROUTES_MAX:
             self._samples.popitem(last=False)
 
-    def is_slow(self, route: int, pace: Pace) -> bool:
+    def is_slow(self, route: int, pace: LatencySample) -> bool:
         """Tell whether an answer is slow against them; no if few are known."""
         samples = self._samples.get((route, pace.kind), ())
         if len(samples) < _FEW_SAMPLES:
--- a/seampond/rollouts/desk.py
+++ b/seampond/rollouts/manager.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 from seampond.rollouts.exposure import Exposure
+from seampond.rollouts.latency import LatencyBaseline, LatencySample
 from seampond.rollouts.models import (
     Change,
     Order,
@@ -14,8 +15,7 @@
     Status,
     Step,
 )
-from seampond.rollouts.rollout import Place, Placed, Rollout
-from seampond.rollouts.slowness import Pace, Slowness
+from seampond.rollouts.rollout import BackendT, Rollout, RolloutBackend
 
 # A gateway that has started before the step was written is in the list of
 # gateways by then: it writes its row at once, and the others gather such rows
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ExposureLimits:
     """What all gateways together may send to an unproved version.
 
     Parameters
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class _Known:
+class _PoolState:
     """What the store says of one pool."""
 
     order: Order | None = None
@@ -57,16 +57,16 @@
 
 
 @dataclass
-class Rollouts:
+class RolloutManager:
     """All roll-outs that a gateway knows of.
 
     Parameters
     ----------
-    limits : Limits
+    limits : ExposureLimits
         What all gateways together may expose.
     count_gateways : Callable[[], int]
         How many gateways there may be, this one among them.
-    places_of : Callable[[str], Sequence[Placed]]
+    places_of : Callable[[str], Sequence[RolloutBackend]]
         All servers of a pool that are known, also those that have left the
         list while something is open there.
     has_pool : Callable[[str], bool]
@@ -83,18 +83,18 @@
 
     """
 
-    limits: Limits
+    limits: ExposureLimits
     count_gateways: Callable[[], int]
-    places_of: Callable[[str], Sequence[Placed]]
+    places_of: Callable[[str], Sequence[RolloutBackend]]
     has_pool: Callable[[str], bool]
     list_reports: Callable[[], Sequence[Mapping[int, Report]] | None]
     hash_name: Callable[[str], int]
     store_ms: Callable[[int], int] = int
     local_ms: Callable[[int], int] = int
-    slowness: Slowness = field(default_factory=Slowness)
+    slowness: LatencyBaseline = field(default_factory=LatencyBaseline)
     is_read: bool = False
     _is_started_unread: bool = False
-    _pools: dict[str, _Known] = field(default_factory=dict)
+    _pools: dict[str, _PoolState] = field(default_factory=dict)
 
     @property
     def is_known(self) -> bool:
@@ -141,15 +141,15 @@
         listed = list(orders)
         self._is_started_unread |= is_start and bool(listed)
         for order in listed:
-            known = self._pools.setdefault(order.pool, _Known())
+            known = self._pools.setdefault(order.pool, _PoolState())
             if known.order is None or order.version > known.order.version:
                 allowance = 0 if is_start else self._allowance
                 self._take_order(known, order, now_ms, allowance)
         for pool in gone:
-            known = self._pools.get(pool, _Known())
+            known = self._pools.get(pool, _PoolState())
             if known.rollout is not None and known.order is not None:
                 known.order = None
-                known.rollout.condemn('order taken back')
+                known.rollout.reject('order taken back')
                 _tell('order of a roll-out taken back', known.rollout)
 
     @property
@@ -180,7 +180,7 @@
         self.is_read = True
         self._is_started_unread = False
         for pool in statuses.keys() | steps.keys():
-            known = self._pools.setdefault(pool, _Known())
+            known = self._pools.setdefault(pool, _PoolState())
             known.status = statuses.get(pool, known.status)
             known.step = steps.get(pool, known.step)
         for known in self._pools.values():
@@ -200,7 +200,7 @@
                 continue
             rollout.evidence.take_told(name, life, report.tallies)
             if report.stage is Stage.refused:
-                rollout.condemn('another gateway found it bad')
+                rollout.reject('another gateway found it bad')
 
     def make_reports(self) -> tuple[Report, ...]:
         """Give what the others are told."""
@@ -215,10 +215,10 @@
     def group(
         self,
         pool: str,
-        places: Sequence[Place],
+        places: Sequence[BackendT],
         now_ms: int,
         draw: float | None,
-    ) -> tuple[Sequence[Place], ...]:
+    ) -> tuple[Sequence[BackendT], ...]:
         """Give the servers to look at, those that come first before others.
 
         Parameters
@@ -257,7 +257,7 @@
         pool: str,
         route: int,
         version: str,
-        pace: Pace | None,
+        pace: LatencySample | None,
         now_ms: int,
         *,
         is_bad: bool,
@@ -267,7 +267,7 @@
 
         Parameters
         ----------
-        pace : Pace or None
+        pace : LatencySample or None
             How fast it was, None where that says nothing.
         is_answer : bool
             Whether anything came; else it counts only if that took too long.
@@ -300,17 +300,17 @@
             return 0
         return rollout.count(self.places_of(pool)).open_old
 
-    def judge(self, now_ms: int) -> None:
+    def evaluate(self, now_ms: int) -> None:
         """Decide how far each roll-out goes."""
         for pool, known in self._items():
             rollout = known.rollout
             if rollout is None:
                 continue
-            before = rollout.stage, rollout.is_condemned
+            before = rollout.stage, rollout.is_rejected
             if known.order is not None and not self.has_pool(pool):
-                rollout.condemn('no such pool')
-            rollout.judge(now_ms, rollout.count(self.places_of(pool)))
-            if before != (rollout.stage, rollout.is_condemned):
+                rollout.reject('no such pool')
+            rollout.evaluate(now_ms, rollout.count(self.places_of(pool)))
+            if before != (rollout.stage, rollout.is_rejected):
                 _tell('stage of a roll-out', rollout)
 
     def list_changes(self, now_ms: int) -> list[Change]:
@@ -320,7 +320,7 @@
         changes = [self._plan(pool, now_ms) for pool in self._pools]
         return [change for change in changes if change is not None]
 
-    def _items(self) -> list[tuple[str, _Known]]:
+    def _items(self) -> list[tuple[str, _PoolState]]:
         return list(self._pools.items())
 
     def _find(self, pool: str) -> Rollout | None:
@@ -334,7 +334,7 @@
         return self.limits.allowance / gateways if gateways else 0
 
     def _take_order(
-        self, known: _Known, order: Order, now_ms: int, allowance: float
+        self, known: _PoolState, order: Order, now_ms: int, allowance: float
     ) -> None:
         known.order = order
         known.closing_ms = None
@@ -345,7 +345,7 @@
         if self.is_read:
             self._follow(known, now_ms)
 
-    def _follow(self, known: _Known, now_ms: int) -> None:
+    def _follow(self, known: _PoolState, now_ms: int) -> None:
         """Bring a roll-out in line with what the store says of it."""
         rollout = known.rollout
         if rollout is None:
@@ -375,7 +375,7 @@
         step = known.step
         if step is not None and step.order != order.version:
             step = None
-        if rollout.is_condemned:
+        if rollout.is_rejected:
             return self._change(known, rollout, State.rolled_back)
         if step is None or _belonging(known.status, order) is None:
             opened = Step(order.version, False, self.store_ms(now_ms), 0)
@@ -393,7 +393,7 @@
 
     def _plan_end(
         self,
-        known: _Known,
+        known: _PoolState,
         rollout: Rollout,
         reports: Sequence[Report],
         now_ms: int,
@@ -421,7 +421,7 @@
 
     def _change(
         self,
-        known: _Known,
+        known: _PoolState,
         rollout: Rollout,
         state: State | None,
         step: Step | None = None,
--- a/seampond/rollouts/rollout.py
+++ b/seampond/rollouts/rollout.py
@@ -25,7 +25,7 @@
 _LEAST_ROOM_PART = 0.5
 
 
-class Versioned(Protocol):
+class VersionedServer(Protocol):
     """A server, as far as a roll-out looks at it."""
 
     @property
@@ -41,11 +41,11 @@
         """How many requests it runs at once."""
 
 
-class Placed(Protocol):
+class RolloutBackend(Protocol):
     """What stands for a server where requests are placed."""
 
     @property
-    def server(self) -> Versioned:
+    def server(self) -> VersionedServer:
         """The server."""
 
     @property
@@ -57,11 +57,11 @@
         """Whether the list lets us send to it."""
 
 
-Place = TypeVar('Place', bound=Placed)
+BackendT = TypeVar('BackendT', bound=RolloutBackend)
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class PoolCounts:
     """What the list says of the servers of a pool, by version.
 
     Parameters
@@ -88,7 +88,7 @@
         Our clock when the order was given, as far as we know.
     stage : Stage
         Our own; the store's word moves it to `closed` and back.
-    is_condemned : bool
+    is_rejected : bool
         Whether the version is bad, whatever stage we are bound to.
 
     """
@@ -98,22 +98,22 @@
     started_ms: int
     evidence: Evidence = field(default_factory=Evidence)
     stage: Stage = Stage.trial
-    is_condemned: bool = False
+    is_rejected: bool = False
     reason: str = ''
     proved_ms: int | None = None
 
-    def count(self, places: Sequence[Place]) -> Counted:
+    def count(self, places: Sequence[BackendT]) -> PoolCounts:
         """Count a pool's servers by version."""
         target = self.order.target
         new = [place for place in places if place.server.version == target]
         old = [place for place in places if place.server.version != target]
-        return Counted(
+        return PoolCounts(
             sum(place.server.slots for place in new if place.takes_work),
             sum(place.server.slots for place in old if place.takes_work),
             sum(place.in_flight for place in old),
         )
 
-    def condemn(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
         """Send nothing to the version any more, for good.
 
         Explanation
@@ -121,8 +121,8 @@
         Where the store may already have said that the old servers stop, they
         are not sent to before it says that the order is rolled back.
         """
-        if not self.is_condemned:
-            self.is_condemned = True
+        if not self.is_rejected:
+            self.is_rejected = True
             self.reason = reason
         if self.stage is not Stage.closed:
             self.stage = Stage.refused
@@ -132,7 +132,7 @@
         if status.state is State.done:
             self.stage = Stage.closed
         elif status.state is State.rolled_back:
-            self.is_condemned = True
+            self.is_rejected = True
             self.stage = Stage.refused
 
     def take_step(self, step: Step) -> None:
@@ -140,18 +140,18 @@
         if step.is_closing and self.stage is not Stage.refused:
             self.stage = Stage.closed
 
-    def judge(self, now_ms: int, counted: Counted) -> None:
+    def evaluate(self, now_ms: int, counted: PoolCounts) -> None:
         """Decide by what is known now how far to go."""
         if self.evidence.verdict is Verdict.bad:
-            self.condemn('bad answers')
-        if self.is_condemned or self.stage is not Stage.trial:
+            self.reject('bad answers')
+        if self.is_rejected or self.stage is not Stage.trial:
             return
         if not counted.old_slots and counted.new_slots:
             self.reason = 'no other version serves'
             self.stage = Stage.moved
             return
         if now_ms > self._ends_ms and not counted.new_slots:
-            self.condemn('no server of the version')
+            self.reject('no server of the version')
         elif self.proved_ms is None and self._is_trusted(now_ms):
             self.proved_ms = now_ms
         if self._has_room(counted) and self.part(now_ms) >= _WHOLE_PART:
@@ -167,8 +167,8 @@
         return min(_WHOLE_PART, _FIRST_PART * 2**steps)
 
     def group(
-        self, places: Sequence[Place], now_ms: int, draw: float | None
-    ) -> tuple[list[Place], ...]:
+        self, places: Sequence[BackendT], now_ms: int, draw: float | None
+    ) -> tuple[list[BackendT], ...]:
         """Give the servers to look at, those that come first before others.
 
         Parameters
@@ -192,12 +192,12 @@
             return (self._list_trial(new, now_ms), old)
         return (old,) if old else (new,)
 
-    def report(self, pool: int, counted: Counted) -> Report:
+    def report(self, pool: int, counted: PoolCounts) -> Report:
         """Give what the other gateways are told."""
         return Report(
             pool,
             self.order.version,
-            Stage.refused if self.is_condemned else self.stage,
+            Stage.refused if self.is_rejected else self.stage,
             counted.open_old,
             self.evidence.own,
         )
@@ -220,7 +220,7 @@
         is_untouched = has_answered or is_idle
         return is_late and is_untouched and not self.evidence.is_suspect
 
-    def _has_room(self, counted: Counted) -> bool:
+    def _has_room(self, counted: PoolCounts) -> bool:
         return counted.new_slots >= _LEAST_ROOM_PART * counted.old_slots
 
     def _is_due(self, now_ms: int, draw: float) -> bool:
@@ -229,7 +229,7 @@
             return self.exposure.may_expose
         return draw < self.part(now_ms)
 
-    def _list_trial(self, new: list[Place], now_ms: int) -> list[Place]:
+    def _list_trial(self, new: list[BackendT], now_ms: int) -> list[BackendT]:
         """Give the few new servers that every gateway tries first."""
         part = max(_TRIAL_SERVERS_PART, self.part(now_ms))
         count = max(1, round(part * len(new)))
@@ -237,5 +237,5 @@
         return sorted(serving, key=_by_id)[:count]
 
 
-def _by_id(place: Placed) -> str:
+def _by_id(place: RolloutBackend) -> str:
     return place.server.id
--- a/seampond/rollouts/tests/test_fleet.py
+++ b/seampond/rollouts/tests/test_fleet.py
@@ -12,10 +12,17 @@
 from dataclasses import dataclass, field
 from unittest import TestCase, mock
 
-from seampond.rollouts import Change, Report, Rollouts, State, Status, Step
-from seampond.rollouts.desk import Limits
+from seampond.rollouts import (
+    Change,
+    Report,
+    RolloutManager,
+    State,
+    Status,
+    Step,
+)
+from seampond.rollouts.latency import LatencySample
+from seampond.rollouts.manager import ExposureLimits
 from seampond.rollouts.rollout import Rollout
-from seampond.rollouts.slowness import Pace
 from seampond.testing.rollouts import (
     NEW,
     OLD,
@@ -107,8 +114,8 @@
     def __post_init__(self) -> None:
         """Start a life."""
         self.places = build_places()
-        self.desk = Rollouts(
-            Limits(_SHARE, _SLACK),
+        self.manager = RolloutManager(
+            ExposureLimits(_SHARE, _SLACK),
             lambda: _GATEWAYS,
             lambda pool: self.places,
             lambda pool: True,
@@ -178,8 +185,8 @@
             Gateway(self, f'g{number}') for number in range(_GATEWAYS)
         ]
         for gateway in self.gateways:
-            gateway.desk.take_orders([], [], 0, is_start=True)
-            gateway.desk.take_states({}, {}, 0)
+            gateway.manager.take_orders([], [], 0, is_start=True)
+            gateway.manager.take_states({}, {}, 0)
 
     def run(self) -> None:
         """Live."""
@@ -203,15 +210,15 @@
             self._beat(gateway)
         if self.now_ms % (2 * _STEP_MS) == 0 and not gateway.is_cut:
             self._read(gateway)
-        gateway.desk.judge(self.now_ms)
-        for change in gateway.desk.list_changes(self.now_ms):
+        gateway.manager.evaluate(self.now_ms)
+        for change in gateway.manager.list_changes(self.now_ms):
             self._write(gateway, change)
         for _ in range(_REQUESTS_A_STEP):
             self._send(gateway)
 
     def _send(self, gateway: Gateway) -> None:
         draw = self.rng.random()
-        groups = gateway.desk.group(POOL, gateway.places, self.now_ms, draw)
+        groups = gateway.manager.group(POOL, gateway.places, self.now_ms, draw)
         group = next(filter(None, groups), None)
         if group is None:
             return
@@ -221,7 +228,7 @@
             self.sent += 1
             self.exposed += is_new
         self._check_send(is_new)
-        gateway.desk.note_placed(POOL, place.server.version)
+        gateway.manager.note_placed(POOL, place.server.version)
         place.in_flight += 1
         takes_ms = round(self.rng.expovariate(1 / self.mean_ms))
         route = self.rng.choice(_ROUTES)
@@ -250,11 +257,11 @@
             if is_bad and self.behaviour.is_slow:
                 took_ms *= 5
                 is_bad = False
-            gateway.desk.note_answer(
+            gateway.manager.note_answer(
                 POOL,
                 one.route,
                 one.place.server.version,
-                Pace('gap', took_ms),
+                LatencySample('gap', took_ms),
                 self.now_ms,
                 is_bad=is_bad or self._happens(_USUAL_BAD),
             )
@@ -265,7 +272,7 @@
             self.fiftieth_ms = self.now_ms
 
     def _beat(self, gateway: Gateway) -> None:
-        reports = gateway.desk.make_reports()
+        reports = gateway.manager.make_reports()
         for other in self.gateways:
             is_lost = self.troubles and self._happens(_LOST)
             is_apart = gateway.is_cut or other.is_cut or not other.is_up
@@ -273,17 +280,17 @@
                 continue
             told = {report.pool: report for report in reports}
             other.heard[gateway.name] = (self.now_ms, told)
-            other.desk.take_reports(gateway.name, gateway.life, reports)
+            other.manager.take_reports(gateway.name, gateway.life, reports)
 
     def _read(self, gateway: Gateway) -> None:
-        gateway.desk.take_states(
+        gateway.manager.take_states(
             {POOL: self.status} if self.status else {},
             {POOL: self.step} if self.step else {},
             self.now_ms,
         )
 
     def _tell_order(self, gateway: Gateway) -> None:
-        gateway.desk.take_orders([self.order], [], self.now_ms)
+        gateway.manager.take_orders([self.order], [], self.now_ms)
 
     def _write(self, gateway: Gateway, change: Change) -> None:
         if gateway.is_cut:
@@ -352,7 +359,7 @@
         fresh.asleep_until_ms = self.now_ms + for_ms
         self.gateways[index] = fresh
         orders = [self.order] if self.now_ms >= _ORDER_MS else []
-        fresh.desk.take_orders(orders, [], self.now_ms, is_start=True)
+        fresh.manager.take_orders(orders, [], self.now_ms, is_start=True)
         self._read(fresh)
 
 
@@ -415,14 +422,14 @@
 
     def test_an_end_with_open_work_is_found(self) -> None:
         """Where nobody looks whether the old version is empty."""
-        with mock.patch('seampond.rollouts.desk._is_empty', _always):
+        with mock.patch('seampond.rollouts.manager._is_empty', _always):
             fleet = Fleet(0, Behaviour(), 0, _LONG_MS)
             fleet.run()
         self.assertTrue(fleet.faults)
 
     def test_a_version_that_nobody_judges_is_found(self) -> None:
         """Where no answer counts as bad."""
-        with mock.patch.object(Rollout, 'condemn', _never):
+        with mock.patch.object(Rollout, 'reject', _never):
             fleet = Fleet(0, Behaviour(0.5), 0)
             fleet.run()
         self.assertTrue(fleet.faults)
--- a/seampond/rollouts/tests/test_model.py
+++ b/seampond/rollouts/tests/test_model.py
@@ -18,13 +18,13 @@
     Change,
     Order,
     Report,
-    Rollouts,
+    RolloutManager,
     Stage,
     State,
     Status,
     Step,
 )
-from seampond.rollouts.desk import Limits
+from seampond.rollouts.manager import ExposureLimits
 from seampond.rollouts.rollout import Rollout
 from seampond.testing.rollouts import (
     OLD,
@@ -65,8 +65,8 @@
 
     def __post_init__(self) -> None:
         """Start a life."""
-        self.desk = Rollouts(
-            Limits(0.1, 0),
+        self.manager = RolloutManager(
+            ExposureLimits(0.1, 0),
             _count_gateways,
             self.list_places,
             _has_pool,
@@ -90,7 +90,7 @@
     @property
     def sends_old(self) -> bool:
         """Whether it would send a request to the old version."""
-        groups = self.desk.group(POOL, self.places, 0, None)
+        groups = self.manager.group(POOL, self.places, 0, None)
         return any(
             place.server.version == OLD for group in groups for place in group
         )
@@ -98,7 +98,7 @@
     @property
     def known(self) -> tuple[Status | None, Step | None]:
         """What it knows of the store."""
-        known = self.desk._pools[POOL]
+        known = self.manager._pools[POOL]
         return known.status, known.step
 
     def copy(self) -> 'Node':
@@ -108,16 +108,16 @@
         other.heard = dict(self.heard)
         other.has_other = self.has_other
         other.verdict = self.verdict
-        other.desk.is_read = self.desk.is_read
-        known = copy.copy(self.desk._pools[POOL])
+        other.manager.is_read = self.manager.is_read
+        known = copy.copy(self.manager._pools[POOL])
         known.rollout = copy.copy(known.rollout)
-        other.desk._pools[POOL] = known
+        other.manager._pools[POOL] = known
         return other
 
     @property
     def state(self) -> tuple[object, ...]:
         """What makes its next decisions, beside what it knows."""
-        running = [(one.stage, one.is_condemned) for one in self.desk.running]
+        running = [(one.stage, one.is_rejected) for one in self.manager.running]
         heard = self.heard.get(_KEY)
         word = (heard.stage, heard.open_old) if heard else ()
         return (
@@ -193,7 +193,7 @@
         """Let a gateway read the store."""
         statuses = {POOL: self.status} if self.status else {}
         steps = {POOL: self.step} if self.step else {}
-        node.desk.take_states(statuses, steps, self.now_ms)
+        node.manager.take_states(statuses, steps, self.now_ms)
 
     def apply(self, change: Change) -> None:
         """Do a write, if what it rests on still holds."""
@@ -271,16 +271,16 @@
         """Let a heartbeat of the other one come."""
         other = self.nodes[1 - node.number]
         node.has_other = True
-        reports = other.desk.make_reports()
+        reports = other.manager.make_reports()
         node.heard = {report.pool: report for report in reports}
-        node.desk.take_reports(str(other.number), 1, reports)
+        node.manager.take_reports(str(other.number), 1, reports)
 
     def _write(self, node: Node) -> None:
-        for change in node.desk.list_changes(self.now_ms):
+        for change in node.manager.list_changes(self.now_ms):
             self.apply(change)
 
     def _write_late(self, node: Node) -> None:
-        for change in node.desk.list_changes(self.now_ms):
+        for change in node.manager.list_changes(self.now_ms):
             self.lates -= 1
             self.late.append(change)
 
@@ -289,14 +289,14 @@
 
     def _find_good(self, node: Node) -> None:
         node.verdict = 'good'
-        for rollout in node.desk.running:
+        for rollout in node.manager.running:
             if rollout.stage is Stage.trial:
                 rollout.stage = Stage.moved
 
     def _find_bad(self, node: Node) -> None:
         node.verdict = 'bad'
-        for rollout in node.desk.running:
-            rollout.condemn('bad answers')
+        for rollout in node.manager.running:
+            rollout.reject('bad answers')
 
     def _end(self, node: Node) -> None:
         """End a life with all that is open; the next one reads first."""
@@ -315,7 +315,7 @@
     """Start a gateway."""
     node = Node(number)
     if world is not None:
-        node.desk.take_orders([world.order], [], world.now_ms, is_start=True)
+        node.manager.take_orders([world.order], [], world.now_ms, is_start=True)
         world.read(node)
     return node
 
@@ -358,7 +358,7 @@
 
 def _go_back(rollout: Rollout, reason: str) -> None:
     """Send to the old version again at once."""
-    rollout.is_condemned = True
+    rollout.is_rejected = True
     rollout.stage = Stage.refused
 
 
@@ -378,12 +378,12 @@
 
     def test_search_finds_an_end_with_open_work(self) -> None:
         """Where nobody looks whether the old version is empty."""
-        with mock.patch('seampond.rollouts.desk._is_empty', _always):
+        with mock.patch('seampond.rollouts.manager._is_empty', _always):
             _, fault = explore(begin(0, 0))
         self.assertTrue(fault)
 
     def test_search_finds_a_way_back_that_is_not_agreed(self) -> None:
         """Where a closed gateway goes back by its own judgement."""
-        with mock.patch.object(Rollout, 'condemn', _go_back):
+        with mock.patch.object(Rollout, 'reject', _go_back):
             _, fault = explore(begin(0, 0))
         self.assertTrue(fault)
--- a/seampond/rollouts/tests/test_rollout.py
+++ b/seampond/rollouts/tests/test_rollout.py
@@ -3,12 +3,12 @@
 import unittest
 from collections.abc import Mapping
 
-from seampond.rollouts import Report, Rollouts, Stage, State, Status, Step
-from seampond.rollouts.desk import Limits
+from seampond.rollouts import Report, RolloutManager, Stage, State, Status, Step
 from seampond.rollouts.exposure import Exposure
+from seampond.rollouts.latency import LatencySample
+from seampond.rollouts.manager import ExposureLimits
 from seampond.rollouts.models import Change, Tally
 from seampond.rollouts.rollout import Rollout
-from seampond.rollouts.slowness import Pace
 from seampond.testing.rollouts import (
     NEW,
     OLD,
@@ -37,10 +37,10 @@
         self.places = build_places()
         self.rollout = Rollout(build_order(), Exposure(0.1, 5), 0)
 
-    def judge(self, now_ms: int) -> Stage:
+    def evaluate(self, now_ms: int) -> Stage:
         """Decide, and give the stage."""
         counted = self.rollout.count(self.places)
-        self.rollout.judge(now_ms, counted)
+        self.rollout.evaluate(now_ms, counted)
         return self.rollout.stage
 
     def test_few_requests_go_to_few_servers_at_first(self) -> None:
@@ -58,12 +58,12 @@
     def test_proved_version_takes_more_and_more(self) -> None:
         """But not in the first quarter of the time: some turn bad later."""
         self.rollout.evidence.take_told('a', 1, _GOOD.tell())
-        self.judge(1000)
+        self.evaluate(1000)
         self.assertEqual(self.rollout.part(1000), 0)
-        self.judge(3000)
+        self.evaluate(3000)
         self.assertEqual(self.rollout.part(3000), 0.1)
         self.assertEqual(self.rollout.part(3900), 0.4)
-        self.assertIs(self.judge(4700), Stage.moved)
+        self.assertIs(self.evaluate(4700), Stage.moved)
         groups = self.rollout.group(self.places, 4700, None)
         self.assertEqual(list_versions(groups), [{NEW}, {OLD}])
 
@@ -72,9 +72,9 @@
         for at_ms in (500, 4000, 20_000):
             with self.subTest(at_ms=at_ms):
                 self.setUp()
-                self.judge(at_ms)
+                self.evaluate(at_ms)
                 self.rollout.evidence.take_told('a', 1, _BAD.tell())
-                self.assertIs(self.judge(at_ms + 1), Stage.refused)
+                self.assertIs(self.evaluate(at_ms + 1), Stage.refused)
                 groups = self.rollout.group(self.places, at_ms, 0)
                 self.assertEqual(list_versions(groups), [{OLD}])
 
@@ -82,37 +82,37 @@
         """Else a pool with little work would never get its new version."""
         few = Answers(Tally(40, 0), Tally(5, 0))
         self.rollout.evidence.take_told('a', 1, few.tell())
-        self.judge(5900)
+        self.evaluate(5900)
         self.assertIsNone(self.rollout.proved_ms)
-        self.judge(6000)
+        self.evaluate(6000)
         self.assertEqual(self.rollout.proved_ms, 6000)
 
     def test_version_without_servers_is_given_up_in_the_end(self) -> None:
         """Nothing can move there."""
         self.places = build_places(new=0)
-        self.judge(11_000)
-        self.assertFalse(self.rollout.is_condemned)
-        self.judge(12_001)
-        self.assertTrue(self.rollout.is_condemned)
+        self.evaluate(11_000)
+        self.assertFalse(self.rollout.is_rejected)
+        self.evaluate(12_001)
+        self.assertTrue(self.rollout.is_rejected)
 
     def test_version_that_serves_alone_has_moved(self) -> None:
         """An order for what is there already."""
         self.places = build_places(old=0)
-        self.assertIs(self.judge(10), Stage.moved)
+        self.assertIs(self.evaluate(10), Stage.moved)
 
     def test_too_few_new_servers_do_not_take_all(self) -> None:
         """The old ones would stop with half of the work waiting."""
         self.places = build_places(old=6, new=1)
         self.rollout.evidence.take_told('a', 1, _GOOD.tell())
-        self.judge(3000)
-        self.assertIs(self.judge(9000), Stage.trial)
+        self.evaluate(3000)
+        self.assertIs(self.evaluate(9000), Stage.trial)
 
     def test_closed_gateway_goes_back_by_the_stores_word_alone(self) -> None:
         """The old servers may have been told to stop."""
         step = Step(10, is_closing=True, since_ms=0, version=12)
         self.rollout.take_step(step)
         self.rollout.evidence.take_told('a', 1, _BAD.tell())
-        self.assertIs(self.judge(5000), Stage.closed)
+        self.assertIs(self.evaluate(5000), Stage.closed)
         groups = self.rollout.group(self.places, 5000, 0.5)
         self.assertEqual(list_versions(groups), [{NEW}])
         self.assertIs(self.rollout.report(1, self.counted).stage, Stage.refused)
@@ -134,24 +134,24 @@
         self.places = build_places()
         self.others: list[Mapping[int, Report]] | None = []
         self.pools = {POOL}
-        self.desk = Rollouts(
-            Limits(0.1, 50),
+        self.manager = RolloutManager(
+            ExposureLimits(0.1, 50),
             lambda: 2,
             lambda pool: self.places,
             lambda pool: pool in self.pools,
             lambda: self.others,
             len,
         )
-        self.desk.take_states({}, {}, 0)
+        self.manager.take_states({}, {}, 0)
 
     def order(self, **changes: object) -> Rollout:
         """Give an order."""
-        self.desk.take_orders([build_order(**changes)], [], 0)
-        return self.desk.running[0]
+        self.manager.take_orders([build_order(**changes)], [], 0)
+        return self.manager.running[0]
 
     def plan(self, now_ms: int) -> Change | None:
         """Give what would be written now, None for nothing."""
-        changes = self.desk.list_changes(now_ms)
+        changes = self.manager.list_changes(now_ms)
         return changes[0] if changes else None
 
     def write(self, version: int, now_ms: int = 0) -> Change:
@@ -167,7 +167,7 @@
             steps[POOL] = Step(
                 told.order, told.is_closing, told.since_ms, version
             )
-        self.desk.take_states(statuses, steps, now_ms)
+        self.manager.take_states(statuses, steps, now_ms)
         return change
 
     def test_order_runs_first(self) -> None:
@@ -215,7 +215,7 @@
         self.places[0].in_flight = 0
         done = self.write(13, 9000)
         self.assertIs(done.state, State.done)
-        self.assertEqual(self.desk.running, [])
+        self.assertEqual(self.manager.running, [])
 
     def test_rest_of_a_finished_order(self) -> None:
         """The old ones are stopped; a refused version gets nothing."""
@@ -223,15 +223,17 @@
             with self.subTest(state=state):
                 self.setUp()
                 self.order()
-                self.desk.take_states({POOL: Status(state, NEW, 11)}, {}, 50)
-                groups = self.desk.group(POOL, self.places, 60, 0.5)
+                self.manager.take_states({POOL: Status(state, NEW, 11)}, {}, 50)
+                groups = self.manager.group(POOL, self.places, 60, 0.5)
                 versions = [place.server.version for place in groups[0]]
                 self.assertEqual(set(versions), {version})
                 self.assertEqual(len(groups), 1)
 
     def test_status_of_an_earlier_order_is_none_of_this_one(self) -> None:
         """The same version may be ordered again."""
-        self.desk.take_states({POOL: Status(State.rolled_back, NEW, 4)}, {}, 0)
+        self.manager.take_states(
+            {POOL: Status(State.rolled_back, NEW, 4)}, {}, 0
+        )
         self.order()
         change = self.plan(0)
         assert change is not None
@@ -242,7 +244,7 @@
         """And one for a pool that the configuration does not name."""
         self.order()
         self.write(11)
-        self.desk.take_orders([], [POOL], 100)
+        self.manager.take_orders([], [POOL], 100)
         change = self.plan(100)
         assert change is not None
         self.assertIs(change.state, State.rolled_back)
@@ -250,7 +252,7 @@
         self.setUp()
         self.pools.clear()
         self.order()
-        self.desk.judge(100)
+        self.manager.evaluate(100)
         change = self.plan(100)
         assert change is not None
         self.assertEqual(change.reason, 'no such pool')
@@ -259,8 +261,10 @@
         """With a trial of its own."""
         self.order()
         self.write(11)
-        self.desk.take_orders([build_order(target='v3', version=20)], [], 100)
-        rollout = self.desk.running[0]
+        self.manager.take_orders(
+            [build_order(target='v3', version=20)], [], 100
+        )
+        rollout = self.manager.running[0]
         self.assertEqual(rollout.order.target, 'v3')
         self.assertIs(rollout.stage, Stage.trial)
         change = self.plan(100)
@@ -271,7 +275,7 @@
         """At once, also while the store cannot be reached."""
         rollout = self.order()
         key = len(POOL)
-        self.desk.take_reports('b', 1, [Report(key, 10, Stage.refused)])
+        self.manager.take_reports('b', 1, [Report(key, 10, Stage.refused)])
         self.assertIs(rollout.stage, Stage.refused)
         change = self.plan(0)
         assert change is not None
@@ -281,29 +285,34 @@
         """An earlier life of it may have spent it."""
         self.assertEqual(self.order().exposure.allowance, 25)
         self.setUp()
-        self.desk.take_orders([build_order()], [], 0, is_start=True)
-        self.assertEqual(self.desk.running[0].exposure.allowance, 0)
+        self.manager.take_orders([build_order()], [], 0, is_start=True)
+        self.assertEqual(self.manager.running[0].exposure.allowance, 0)
 
     def test_time_counts_from_the_order_also_for_a_later_start(self) -> None:
         """The step tells when it was given."""
-        self.desk.take_orders([build_order()], [], 9000, is_start=True)
+        self.manager.take_orders([build_order()], [], 9000, is_start=True)
         step = Step(10, is_closing=False, since_ms=2000, version=11)
-        self.desk.take_states({}, {POOL: step}, 9000)
-        self.assertEqual(self.desk.running[0].started_ms, 2000)
+        self.manager.take_states({}, {POOL: step}, 9000)
+        self.assertEqual(self.manager.running[0].started_ms, 2000)
 
     def test_slow_answers_are_bad(self) -> None:
         """Against what the old version takes on the same route."""
         for number in range(40):
-            self.desk.note_answer(
-                POOL, ROUTE, OLD, Pace('gap', 20 + number), 0, is_bad=False
+            self.manager.note_answer(
+                POOL,
+                ROUTE,
+                OLD,
+                LatencySample('gap', 20 + number),
+                0,
+                is_bad=False,
             )
         rollout = self.order()
         for _ in range(10):
-            self.desk.note_answer(
-                POOL, ROUTE, NEW, Pace('gap', 200), 0, is_bad=False
+            self.manager.note_answer(
+                POOL, ROUTE, NEW, LatencySample('gap', 200), 0, is_bad=False
             )
         self.assertEqual(rollout.evidence.new_answers, Tally(10, 10))
-        self.desk.judge(100)
+        self.manager.evaluate(100)
         self.assertIs(rollout.stage, Stage.refused)
 
     def test_slowness_counts_only_beside_the_old_version(self) -> None:
@@ -314,30 +323,40 @@
         Failures go on to count.
         """
         for number in range(40):
-            self.desk.note_answer(
-                POOL, ROUTE, OLD, Pace('gap', 20 + number), 0, is_bad=False
+            self.manager.note_answer(
+                POOL,
+                ROUTE,
+                OLD,
+                LatencySample('gap', 20 + number),
+                0,
+                is_bad=False,
             )
         rollout = self.order()
         rollout.stage = Stage.moved
         for is_bad in (False, True):
-            self.desk.note_answer(
-                POOL, ROUTE, NEW, Pace('gap', 900), 100, is_bad=is_bad
+            self.manager.note_answer(
+                POOL, ROUTE, NEW, LatencySample('gap', 900), 100, is_bad=is_bad
             )
         self.assertEqual(rollout.evidence.new_answers, Tally(2, 1))
 
     def test_send_without_an_answer_counts_if_it_took_long(self) -> None:
         """Callers also leave early for reasons of their own."""
         for number in range(40):
-            self.desk.note_answer(
-                POOL, ROUTE, OLD, Pace('gap', 20 + number), 0, is_bad=False
+            self.manager.note_answer(
+                POOL,
+                ROUTE,
+                OLD,
+                LatencySample('gap', 20 + number),
+                0,
+                is_bad=False,
             )
         rollout = self.order()
         for took_ms in (30, 900):
-            self.desk.note_answer(
+            self.manager.note_answer(
                 POOL,
                 ROUTE,
                 NEW,
-                Pace('gap', took_ms),
+                LatencySample('gap', took_ms),
                 100,
                 is_bad=False,
                 is_answer=False,
@@ -346,7 +365,7 @@
 
     def test_nothing_is_written_before_the_states_are_read(self) -> None:
         """They may say that the order has ended."""
-        self.desk.is_read = False
+        self.manager.is_read = False
         self.order()
         self.assertIsNone(self.plan(0))
 
@@ -355,21 +374,21 @@
 
         One that starts while an order runs has to read its state first.
         """
-        self.desk.is_read = False
+        self.manager.is_read = False
         self.order()
-        self.assertTrue(self.desk.is_known)
+        self.assertTrue(self.manager.is_known)
         self.setUp()
-        self.desk.take_orders([build_order()], [], 0, is_start=True)
-        self.assertFalse(self.desk.is_known)
-        self.desk.take_states({}, {}, 0)
-        self.assertTrue(self.desk.is_known)
+        self.manager.take_orders([build_order()], [], 0, is_start=True)
+        self.assertFalse(self.manager.is_known)
+        self.manager.take_states({}, {}, 0)
+        self.assertTrue(self.manager.is_known)
 
     def test_state_that_was_removed_is_written_anew(self) -> None:
         """A change that rests on a row that is gone would never be made."""
         self.order()
         self.write(11)
-        self.assertEqual(self.desk.told, {POOL})
-        self.desk.take_states({POOL: None}, {POOL: None}, 0)
+        self.assertEqual(self.manager.told, {POOL})
+        self.manager.take_states({POOL: None}, {POOL: None}, 0)
         change = self.plan(0)
         assert change is not None
         self.assertEqual((change.status_version, change.step_version), (0, 0))
@@ -378,13 +397,13 @@
         """Each pool has a change of its own."""
         self.order()
         self.order(pool='api', version=12)
-        pools = [change.pool for change in self.desk.list_changes(0)]
+        pools = [change.pool for change in self.manager.list_changes(0)]
         self.assertEqual(pools, [POOL, 'api'])
 
     def test_pool_that_nobody_asks_moves_late(self) -> None:
         """Nothing can be proved there, and nobody harmed."""
         rollout = self.order()
-        self.desk.judge(5900)
+        self.manager.evaluate(5900)
         self.assertIsNone(rollout.proved_ms)
-        self.desk.judge(6000)
+        self.manager.evaluate(6000)
         self.assertEqual(rollout.proved_ms, 6000)
--- a/seampond/sharing/heartbeats.py
+++ b/seampond/sharing/heartbeats.py
@@ -10,8 +10,8 @@
 import capnp
 
 from seampond.errors import ForeignMessageError
-from seampond.permits.messages import Word, decode_rate, encode_rate
-from seampond.quarantine.models import ToldEnd
+from seampond.permits.messages import LimitReport, decode_rate, encode_rate
+from seampond.quarantine.models import CrashReport
 from seampond.rollouts.models import Report, Stage, Tally, TallyKey
 from seampond.watches import FreshnessProof, Row
 
@@ -93,12 +93,12 @@
         What it has read of the store since its last heartbeat.
     rollouts : tuple[Report, ...]
         How far it has come with the roll-outs that are carried out.
-    ends : tuple[ToldEnd, ...]
+    ends : tuple[CrashReport, ...]
         Under which requests servers have ended.
     good : Mapping[int, int]
         By fingerprint, how long ago a request got a good answer that speaks
         against such ends.
-    limits : Mapping[int, Word]
+    limits : Mapping[int, LimitReport]
         By key of a server's life, what it has heard of its limit.
     gives_permits : bool
         Whether it may own limits.
@@ -119,9 +119,9 @@
     is_cut: bool = False
     pages: tuple[RelayedPage, ...] = ()
     rollouts: tuple[Report, ...] = ()
-    ends: tuple[ToldEnd, ...] = ()
+    ends: tuple[CrashReport, ...] = ()
     good: Mapping[int, int] = field(default_factory=dict)
-    limits: Mapping[int, Word] = field(default_factory=dict)
+    limits: Mapping[int, LimitReport] = field(default_factory=dict)
     gives_permits: bool = False
 
 
@@ -202,7 +202,7 @@
     return min(number, _MAX_UINT32)
 
 
-def _read_ends(reader: Any) -> tuple[ToldEnd, ...]:
+def _read_ends(reader: Any) -> tuple[CrashReport, ...]:
     columns = (
         reader.endRequests,
         reader.endLives,
@@ -210,7 +210,7 @@
         reader.endAgoMs,
         reader.endsProven,
     )
-    return tuple(ToldEnd(*told) for told in zip(*columns, strict=True))
+    return tuple(CrashReport(*told) for told in zip(*columns, strict=True))
 
 
 def encode(heartbeat: Heartbeat) -> bytes:
@@ -303,7 +303,7 @@
             _join(
                 reader.limitLives,
                 map(
-                    Word,
+                    LimitReport,
                     map(decode_rate, reader.limitRates),
                     reader.limitSaidAgoMs,
                 ),
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -11,8 +11,8 @@
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.errors import ForeignMessageError, PlatformError
 from seampond.permits.messages import (
-    Ask,
-    Reply,
+    PermitReply,
+    PermitRequest,
     decode_permit,
     encode_permit,
     is_permit,
@@ -61,7 +61,7 @@
         Set where the others should hear of us at once.
     count_dropped : Callable[[str], None]
         Counts a datagram that cannot be read.
-    take_permit : Callable[[Ask | Reply], None]
+    take_permit : Callable[[PermitRequest | PermitReply], None]
         Takes what another gateway asks or answers on permits.
 
     """
@@ -73,7 +73,7 @@
     is_urgent: asyncio.Event
     clock: Clock
     count_dropped: Callable[[str], None]
-    take_permit: Callable[[Ask | Reply], None]
+    take_permit: Callable[[PermitRequest | PermitReply], None]
 
 
 class _Endpoint(asyncio.DatagramProtocol):
@@ -108,7 +108,9 @@
         if heartbeat.uptime_ms < _NEWCOMER_MS and not heartbeat.is_gone:
             self._greet(heartbeat.name)
 
-    def send_permit(self, name: str, message: Ask | Reply) -> None:
+    def send_permit(
+        self, name: str, message: PermitRequest | PermitReply
+    ) -> None:
         """Send one gateway what it asks or is asked for."""
         address = self._sharing.peers.address_of(name)
         if self._transport is None or not address:
@@ -247,7 +249,7 @@
 @asynccontextmanager
 async def share(
     address: str, sharing: TransportContext
-) -> AsyncIterator[Callable[[str, Ask | Reply], None]]:
+) -> AsyncIterator[Callable[[str, PermitRequest | PermitReply], None]]:
     """Exchange heartbeats until the end of the `with`.
 
     Returns
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -15,8 +15,8 @@
 from seampond.forwarding.refusals import Refusal
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server_signals import ServerSignals
-from seampond.permits.desk import Desk
-from seampond.permits.messages import Ask, Reply, encode_permit
+from seampond.permits.manager import PermitManager
+from seampond.permits.messages import PermitReply, PermitRequest, encode_permit
 from seampond.sharing import Heartbeat, Peers, hash_name
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import NAMES, ZONE, build_job, build_server
@@ -128,16 +128,16 @@
         self.backends = Backends(
             fleet.clock, NAMES.request_id, hash_name=hash_name
         )
-        self.desk = Desk(
+        self.permit_manager = PermitManager(
             self.peers,
             fleet.clock,
             self.backends.take_limit,
             self.is_urgent.set,
             fleet.rng,
         )
-        self.desk.send = self._send_permit
-        self.backends.note_limit = self.desk.note_heard
-        permits: Permits = self.desk
+        self.permit_manager.send = self._send_permit
+        self.backends.note_limit = self.permit_manager.note_heard
+        permits: Permits = self.permit_manager
         if fleet.make_permits is not None:
             permits = fleet.make_permits(self.peers, fleet.clock, self.backends)
         self.scheduler = Scheduler(
@@ -151,7 +151,7 @@
         self.scheduler.availability = Availability(fleet.clock, fleet.rng)
         self.scheduler.availability.permits = permits
         self.scheduler._rng = fleet.rng  # noqa: SLF001
-        self.desk.note_reply = self.scheduler.process_queues
+        self.permit_manager.note_reply = self.scheduler.process_queues
         self.backends.keep_only(
             build_server(server.id, slots=_SLOTS) for server in fleet.servers
         )
@@ -176,16 +176,16 @@
     def hear(self, heartbeat: Heartbeat) -> None:
         """Take what another has told."""
         if self.is_up and self.peers.take_heartbeat(heartbeat):
-            self.desk.take_told(heartbeat.limits)
+            self.permit_manager.take_told(heartbeat.limits)
 
-    def take_permit(self, message: Ask | Reply) -> None:
+    def take_permit(self, message: PermitRequest | PermitReply) -> None:
         """Take what another asks or answers."""
         if not self.is_up:
             return
-        if isinstance(message, Ask):
-            self.desk.take_ask(message)
+        if isinstance(message, PermitRequest):
+            self.permit_manager.take_ask(message)
         else:
-            self.desk.take_reply(message)
+            self.permit_manager.take_reply(message)
 
     async def serve(self, request_id: str, *, is_retry: bool) -> int | None:
         """Carry a request through.
@@ -216,21 +216,23 @@
         return None
 
     def _tell_all(self) -> None:
-        self.desk.look_after()
+        self.permit_manager.look_after()
         self._sequence += 1
         told = Heartbeat(
             self.name,
             self.incarnation,
             self._sequence,
             is_stopping=self.is_stopping,
-            limits=self.desk.tell(),
+            limits=self.permit_manager.tell(),
             gives_permits=True,
         )
         # A set of names has another order in each process, a seed must not.
         for name in sorted(self.peers.names):
             self.fleet.tell(self.name, name, told)
 
-    def _send_permit(self, name: str, message: Ask | Reply) -> None:
+    def _send_permit(
+        self, name: str, message: PermitRequest | PermitReply
+    ) -> None:
         self.fleet.network.permit_bytes += len(encode_permit(message))
         self.fleet.network.deliver(
             self.name,
