--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -12,12 +12,12 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.forwarding.admission import Admission, Arrival
-from seampond.forwarding.forwarder import CutError, Forwarder
-from seampond.forwarding.heads import Head
+from seampond.forwarding.caller_protocol import ON_DISCONNECT_KEY, TARGET_KEY
+from seampond.forwarding.forwarder import AbortedResponseError, Forwarder
 from seampond.forwarding.job import Job
 from seampond.forwarding.progress import Progress
 from seampond.forwarding.refusals import Cause, Refusal
-from seampond.forwarding.web import TARGET_KEY, WATCH_KEY
+from seampond.forwarding.response_head import ResponseHead
 from seampond.metrics.gateway import GatewayMetrics
 from seampond.promises import Promises, Rule
 from seampond.quarantine import format_fingerprint
@@ -41,36 +41,36 @@
 _logger = logging.getLogger(__name__)
 
 
-class Gone(Exception):
+class CallerDisconnected(Exception):
     """The caller has left."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class PlannedStop:
     """A planned stop.
 
     Parameters
     ----------
-    lingers_until_ms : int
+    accepts_until_ms : int
         Until when callers may still be sent here as a matter of course.
-    closes_ms : int
+    close_ms : int
         When what is still open is ended.
 
     """
 
-    lingers_until_ms: int
-    closes_ms: int
+    accepts_until_ms: int
+    close_ms: int
 
 
 @dataclass
-class GatewayWeb:
+class GatewayApp:
     """What serving callers needs.
 
     Parameters
     ----------
     has_ready_peer : Callable[[], bool]
         Tells whether another gateway takes callers.
-    stop : Stop or None
+    stop : PlannedStop or None
         The planned stop that has begun, None for no stop.
 
     """
@@ -81,8 +81,8 @@
     clock: Clock
     promises: Promises
     has_ready_peer: Callable[[], bool]
-    stop: Stop | None = None
-    held_bytes: int = 0
+    stop: PlannedStop | None = None
+    buffered_bytes: int = 0
     _open: set['asyncio.Task[Any]'] = field(default_factory=set)
 
     async def __call__(
@@ -91,10 +91,10 @@
         """Serve one request."""
         if scope['type'] != 'http':
             return
-        serving = Serving(self, scope, send)
+        serving = RequestHandler(self, scope, send)
         self._open.add(serving.task)
         try:
-            with suppress(Gone, asyncio.CancelledError):
+            with suppress(CallerDisconnected, asyncio.CancelledError):
                 await serving.run(receive)
         except Exception:
             # The web server answers 500, or cuts what has begun.
@@ -113,25 +113,25 @@
         """How many requests are at work."""
         return len(self._open)
 
-    async def finish_open(self) -> None:
+    async def wait_for_open_requests(self) -> None:
         """Wait for the requests that are at work now, not for later ones."""
         left_ms = 0
         if self.stop is not None:
-            left_ms = max(0, self.stop.closes_ms - self.clock.now())
+            left_ms = max(0, self.stop.close_ms - self.clock.now())
         if self._open:
             await asyncio.wait(set(self._open), timeout=left_ms / MS_PER_SECOND)
 
-    def return_after_ms(self, stop: Stop) -> int:
+    def stop_retry_after_ms(self, stop: PlannedStop) -> int:
         """Give when a caller that a stop turns away should come back."""
         if self.has_ready_peer():
             return _STOPPING_MS
-        return max(_STOPPING_MS, stop.closes_ms - self.clock.now())
+        return max(_STOPPING_MS, stop.close_ms - self.clock.now())
 
 
-class Serving:
+class RequestHandler:
     """One request of a caller, from its head to its final answer."""
 
-    def __init__(self, web: GatewayWeb, scope: Scope, send: Send) -> None:
+    def __init__(self, web: GatewayApp, scope: Scope, send: Send) -> None:
         """Note the arrival."""
         self.has_started = False
         self._web = web
@@ -150,7 +150,7 @@
         task = asyncio.current_task()
         assert task is not None
         self.task = task
-        extensions[WATCH_KEY](task.cancel)
+        extensions[ON_DISCONNECT_KEY](task.cancel)
 
     async def run(self, receive: Receive) -> None:
         """Answer the request."""
@@ -161,10 +161,10 @@
             self._note_not_run()
             raise
         finally:
-            self._web.held_bytes -= self._body_bytes
+            self._web.buffered_bytes -= self._body_bytes
             self._tell(outcome)
 
-    async def start(self, head: Head, length: int | None) -> None:
+    async def start(self, head: ResponseHead, length: int | None) -> None:
         """Send the head of a server's answer."""
         headers = [
             (name, text) for name, text in head.headers if name not in _DROPPED
@@ -195,7 +195,7 @@
             self._note_not_run()
             await self._refuse(refusal)
             return refusal.cause.value
-        except CutError as cut:
+        except AbortedResponseError as cut:
             # No end mark: the web server closes the connection.
             return f'cut: {cut}'
         return 'answered'
@@ -204,7 +204,7 @@
         web = self._web
         body = await self._read_body(receive)
         self._body_bytes = len(body)
-        web.held_bytes += self._body_bytes
+        web.buffered_bytes += self._body_bytes
         job = web.admission.admit(self._arrival, body)
         self._progress = Progress(job, self)
         self._check_stop(job)
@@ -226,17 +226,17 @@
         if stop is None:
             return
         now_ms = web.clock.now()
-        is_late = now_ms + job.route.target_ms > stop.closes_ms
+        is_late = now_ms + job.route.target_ms > stop.close_ms
         if job.is_stream:
-            is_late = now_ms > stop.lingers_until_ms
+            is_late = now_ms > stop.accepts_until_ms
         if is_late:
             raise Refusal(
                 Cause.stopping,
                 step='stop',
-                retry_after_ms=web.return_after_ms(stop),
+                retry_after_ms=web.stop_retry_after_ms(stop),
             )
         # Its answer is given before the connection is closed.
-        job.end_ms = min(job.end_ms, stop.closes_ms)
+        job.end_ms = min(job.end_ms, stop.close_ms)
 
     async def _start(
         self, status: int, headers: list[tuple[bytes, bytes]]
@@ -281,7 +281,7 @@
             parts.append(part)
             if not message.get('more_body'):
                 break
-        if self._web.held_bytes + size > _BODIES_MAX_BYTES:
+        if self._web.buffered_bytes + size > _BODIES_MAX_BYTES:
             raise Refusal(
                 Cause.no_memory, step='read', retry_after_ms=MS_PER_SECOND
             )
@@ -296,7 +296,7 @@
         except TimeoutError as error:
             raise Refusal(Cause.slow_body, step='read') from error
         if message['type'] == _DISCONNECT:
-            raise Gone
+            raise CallerDisconnected
         return message
 
     async def _refuse(self, refusal: Refusal) -> None:
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -8,11 +8,15 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend, LoadReport
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.exchange import Connection
-from seampond.forwarding.heads import ExchangeError, Head, parse_idle_ms
+from seampond.forwarding.connection import Connection
 from seampond.forwarding.models import HeaderNames
-from seampond.forwarding.packets import make_packet
 from seampond.forwarding.progress import Answer, Outcome, Progress, Try
+from seampond.forwarding.request_encoding import encode_request
+from seampond.forwarding.response_head import (
+    ExchangeError,
+    ResponseHead,
+    parse_keep_alive_ms,
+)
 from seampond.forwarding.selection import (
     count_unread,
     expect_first_ms,
@@ -101,11 +105,11 @@
             # under another copy of the request.
             self.backends.give_back(self.backend, connection, None)
             return Outcome.unreached
-        keep_ms: int | None = None
+        keep_alive_ms: int | None = None
         try:
             self._send(connection)
             outcome = await self._relay(connection)
-            keep_ms = parse_idle_ms(await connection.read_head())
+            keep_alive_ms = parse_keep_alive_ms(await connection.read_head())
         except ExchangeError as error:
             outcome = self._fail(error)
         except asyncio.CancelledError:
@@ -114,7 +118,7 @@
             )
             raise
         finally:
-            self.backends.give_back(self.backend, connection, keep_ms)
+            self.backends.give_back(self.backend, connection, keep_alive_ms)
         return outcome
 
     def _may_send(self) -> bool:
@@ -135,7 +139,7 @@
         job.last_event = progress.splitter.last_id
         progress.splitter.restart()
         self.sent_ms = self.clock.now()
-        packet = make_packet(
+        packet = encode_request(
             job, self.names, self.backend.server.id, self.sent_ms
         )
         job.attempts += 1
@@ -175,7 +179,7 @@
         self.backends.apply_signals(self.backend, reported, self.sent_ms)
         if self._is_rejection(head):
             job.maybe_run = had_run
-            await connection.read_whole(_WHOLE_MAX_BYTES)
+            await connection.read_body(_WHOLE_MAX_BYTES)
             self._note_rejection(head)
             return Outcome.rejected
         self._check_stamp(head)
@@ -187,8 +191,10 @@
         self.quarantine.note_good(job)
         return outcome
 
-    async def _relay_whole(self, connection: Connection, head: Head) -> Outcome:
-        body = await connection.read_whole(_WHOLE_MAX_BYTES)
+    async def _relay_whole(
+        self, connection: Connection, head: ResponseHead
+    ) -> Outcome:
+        body = await connection.read_body(_WHOLE_MAX_BYTES)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.backend.note_failure(self.clock.now(), _ERRORS_IN_A_ROW)
             self.progress.kept = Answer(head, body)
@@ -202,11 +208,13 @@
         await sink.finish()
         return Outcome.whole
 
-    async def _relay_stream(self, connection: Connection, head: Head) -> None:
+    async def _relay_stream(
+        self, connection: Connection, head: ResponseHead
+    ) -> None:
         progress, sink = self.progress, self.progress.sink
         parts = 0
         while True:
-            part = await connection.read_part()
+            part = await connection.read_chunk()
             if part is None:
                 break
             parts += 1
@@ -265,24 +273,24 @@
             pool = self.backends.speed_of(job.pool)
             pool.note_whole(job.prompt.answer_tokens, parts)
 
-    def _check_stamp(self, head: Head) -> None:
+    def _check_stamp(self, head: ResponseHead) -> None:
         is_success = head.status < HTTPStatus.BAD_REQUEST
         if is_success and not head.has(self.names.stamp):
             raise self._error('a success without a stamp')
 
-    def _is_rejection(self, head: Head) -> bool:
+    def _is_rejection(self, head: ResponseHead) -> bool:
         return head.status == HTTPStatus.MISDIRECTED_REQUEST or head.has(
             self.names.not_run
         )
 
-    def _note_rejection(self, head: Head) -> None:
+    def _note_rejection(self, head: ResponseHead) -> None:
         now_ms = self.clock.now()
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             self.backend.note_replaced(now_ms)
         else:
             self.backend.note_failure(now_ms, _ERRORS_IN_A_ROW)
 
-    def _note_load(self, head: Head) -> None:
+    def _note_load(self, head: ResponseHead) -> None:
         fields = head.get(self.names.load).split(b',')
         is_sound = all(field.strip().isdigit() for field in fields)
         if len(fields) != _LOAD_FIELDS or not is_sound:
--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -5,7 +5,7 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 
-from seampond.forwarding.exchange import Connection
+from seampond.forwarding.connection import Connection
 from seampond.forwarding.server import Server
 from seampond.forwarding.signal_state import SignalState
 from seampond.forwarding.speeds import Speed
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -8,7 +8,7 @@
 
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend, OthersLoad
-from seampond.forwarding.exchange import Connection, open_connection
+from seampond.forwarding.connection import Connection, open_connection
 from seampond.forwarding.server import Server
 from seampond.forwarding.server_limit import ServerLimit
 from seampond.forwarding.server_signals import ServerSignals
@@ -196,7 +196,7 @@
             backend.server, backend.signals, reported, self.grace_ms, sent_ms
         )
         if limit.said_ms == sent_ms:
-            key = self._hash_name(backend.server.life)
+            key = self._hash_name(backend.server.incarnation)
             self.note_limit(key, limit, is_other=limit.rate != before)
         if reported.is_draining:
             backend.drop_idle()
@@ -241,17 +241,20 @@
         return connection
 
     def give_back(
-        self, backend: Backend, connection: Connection, keep_ms: int | None
+        self,
+        backend: Backend,
+        connection: Connection,
+        keep_alive_ms: int | None,
     ) -> None:
         """Keep a connection for the next request, or close it."""
-        backoff_ms = keep_ms if backend.takes_work else None
+        backoff_ms = keep_alive_ms if backend.takes_work else None
         if connection.finish(backoff_ms):
             backend.idle.append(connection)
         else:
             backend.open_count -= 1
 
     def _add(self, server: Server) -> None:
-        told = self._told.get(self._hash_name(server.life))
+        told = self._told.get(self._hash_name(server.incarnation))
         signals = self._signals.of(server)
         self._signals.take_row(server, signals)
         self._by_id[server.id] = Backend(
@@ -263,16 +266,16 @@
         self._tell('server listed', server)
 
     def _take_known(self, backend: Backend, server: Server) -> None:
-        known_ms = backend.server.born_ms
-        told_ms = server.born_ms or known_ms
+        known_ms = backend.server.started_ms
+        told_ms = server.started_ms or known_ms
         if 0 < known_ms < told_ms:
             self._end_life(backend)
             self._add(server)
         elif told_ms >= known_ms:
             if backend.server.is_draining != server.is_draining:
                 self._tell('server leaves', server)
-            backend.server = replace(server, born_ms=told_ms)
-            backend.signals.born_ms = told_ms
+            backend.server = replace(server, started_ms=told_ms)
+            backend.signals.started_ms = told_ms
             self._signals.take_row(server, backend.signals)
             backend.is_listed = True
             backend.is_readable = True
@@ -312,7 +315,7 @@
             or backend.may_serve(now_ms)
         }
         self._by_key = {
-            self._hash_name(backend.server.life): backend
+            self._hash_name(backend.server.incarnation): backend
             for backend in self._by_id.values()
         }
         by_pool: dict[str, list[Backend]] = {}
--- a/seampond/forwarding/web.py
+++ b/seampond/forwarding/caller_protocol.py
@@ -10,7 +10,7 @@
 from seampond.forwarding.models import Limits
 
 TARGET_KEY = 'seampond.target'
-WATCH_KEY = 'seampond.watch'
+ON_DISCONNECT_KEY = 'seampond.watch'
 _TOO_SLOW = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'content-length: 0\r\n'
@@ -71,7 +71,7 @@
         self._stop_head_timer()
         self.scope['extensions'] = {
             TARGET_KEY: self.url,  # type: ignore[dict-item]
-            WATCH_KEY: self._watch,  # type: ignore[dict-item]
+            ON_DISCONNECT_KEY: self._watch,  # type: ignore[dict-item]
         }
         # Fields behind a chunked body are no headers of the request.
         self.scope['headers'] = list(self.headers)
--- a/seampond/forwarding/exchange.py
+++ b/seampond/forwarding/connection.py
@@ -8,7 +8,7 @@
 import httptools
 
 from seampond.clock import MS_PER_SECOND, Clock
-from seampond.forwarding.heads import ExchangeError, Head
+from seampond.forwarding.response_head import ExchangeError, ResponseHead
 
 _HIGH_WATER_BYTES = 262_144
 _CONTINUE = 100
@@ -41,8 +41,8 @@
     """
 
     _parser: httptools.HttpResponseParser
-    _head: Head
-    _next: Head
+    _head: ResponseHead
+    _next: ResponseHead
     _has_head: bool
     _has_body: bool
     _ends_at_eof: bool
@@ -100,7 +100,7 @@
         self._has_body = has_body
         self._transport.write(packet)
 
-    async def read_head(self) -> Head:
+    async def read_head(self) -> ResponseHead:
         """Wait for the head of the answer to the request that was sent.
 
         Raises
@@ -114,7 +114,7 @@
             await self._wait()
         return self._head
 
-    async def read_part(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """Wait for the next bytes of the body; None at its end.
 
         Raises
@@ -135,35 +135,37 @@
         self._buffered = 0
         return parts
 
-    async def read_whole(
-        self, most_bytes: int, silence_ms: int | None = None
+    async def read_body(
+        self, max_bytes: int, idle_timeout_ms: int | None = None
     ) -> bytes:
         """Wait for the whole body.
 
         Parameters
         ----------
-        silence_ms : int or None
+        idle_timeout_ms : int or None
             How long nothing more of it may come, None for any time.
 
         Raises
         ------
         ExchangeError
-            If the answer was cut short, or is longer than `most_bytes`.
+            If the answer was cut short, or is longer than `max_bytes`.
         TimeoutError
             If it stopped coming.
 
         """
         parts: list[bytes] = []
         size = 0
-        seconds = None if silence_ms is None else silence_ms / MS_PER_SECOND
+        seconds = (
+            None if idle_timeout_ms is None else idle_timeout_ms / MS_PER_SECOND
+        )
         while True:
             async with asyncio.timeout(seconds):
-                part = await self.read_part()
+                part = await self.read_chunk()
             if part is None:
                 return b''.join(parts)
             parts.append(part)
             size += len(part)
-            if size > most_bytes:
+            if size > max_bytes:
                 raise ExchangeError(
                     'answer too large', step='body', peer=self.peer
                 )
@@ -174,12 +176,12 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def finish(self, keep_ms: int | None) -> bool:
+    def finish(self, keep_alive_ms: int | None) -> bool:
         """End the exchange; tell whether the connection may be used again.
 
         Parameters
         ----------
-        keep_ms : int or None
+        keep_alive_ms : int or None
             How long it may rest, None for not at all.
 
         """
@@ -189,11 +191,11 @@
         is_sent = self._transport.get_write_buffer_size() == 0
         is_last = self._head.get(b'connection').lower() == b'close'
         is_clean = self._is_complete and is_sound and is_sent and not is_last
-        if not is_clean or keep_ms is None or keep_ms <= 0:
+        if not is_clean or keep_alive_ms is None or keep_alive_ms <= 0:
             self.close()
             return False
         self._request_id = b''
-        self.idle_until_ms = self._clock.now() + keep_ms
+        self.idle_until_ms = self._clock.now() + keep_alive_ms
         return True
 
     def data_received(self, payload: bytes) -> None:
@@ -230,7 +232,7 @@
         """Start an answer; a second one behind ours is a surplus."""
         if self._is_complete:
             self._is_broken = True
-        self._next = Head()
+        self._next = ResponseHead()
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Keep a header."""
@@ -279,7 +281,7 @@
             and self._next is self._head
         )
 
-    def _is_answer_to_ours(self, head: Head) -> bool:
+    def _is_answer_to_ours(self, head: ResponseHead) -> bool:
         answered = head.get(self._id_header)
         if not answered:
             self._fail('an answer without a request id')
@@ -292,8 +294,8 @@
 
     def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._head = Head()
-        self._next = Head()
+        self._head = ResponseHead()
+        self._next = ResponseHead()
         self._has_head = False
         self._has_body = True
         self._ends_at_eof = False
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -14,7 +14,7 @@
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.retries import RetryBudget
 from seampond.forwarding.scheduler import Scheduler
-from seampond.forwarding.versions import ANY_VERSION, Versions
+from seampond.forwarding.versions import ANY_VERSION, VersionPolicy
 from seampond.metrics.gateway import GatewayMetrics
 from seampond.promises import Promises
 from seampond.quarantine.quarantine import Quarantine
@@ -24,12 +24,12 @@
 _STEP = 'forward'
 
 
-class CutError(Exception):
+class AbortedResponseError(Exception):
     """The answer has begun and cannot be made whole."""
 
 
 @dataclass(frozen=True)
-class ForwarderParts:
+class ForwarderContext:
     """What a forwarder works with.
 
     Parameters
@@ -40,7 +40,7 @@
         Checks each send before it is made.
     quarantine : Quarantine
         Holds requests back that end their servers.
-    versions : Versions
+    versions : VersionPolicy
         Told how each send ended.
 
     """
@@ -54,13 +54,13 @@
     check_proof: Callable[[Job], None]
     promises: Promises
     quarantine: Quarantine
-    versions: Versions = ANY_VERSION
+    versions: VersionPolicy = ANY_VERSION
 
 
 class Forwarder:
     """Sends requests to servers and their answers back."""
 
-    def __init__(self, parts: ForwarderParts) -> None:
+    def __init__(self, parts: ForwarderContext) -> None:
         """Keep the parts."""
         self._parts = parts
         self._clock = parts.clock
@@ -131,7 +131,9 @@
                 return await attempt.run()
             finally:
                 # Also of one that was given up: its server may have been mute.
-                parts.versions.note_try(progress.job, backend, attempt.tried)
+                parts.versions.record_attempt(
+                    progress.job, backend, attempt.tried
+                )
 
     def _may_try_again(self, progress: Progress, outcome: Outcome) -> bool:
         job = progress.job
@@ -150,7 +152,7 @@
         """Give the final answer: the server's own failure, or ours."""
         sink, kept = progress.sink, progress.kept
         if sink.has_started:
-            raise CutError(refusal.cause.value)
+            raise AbortedResponseError(refusal.cause.value)
         if kept is not None:
             await sink.start(kept.head, len(kept.body))
             await sink.send(kept.body)
--- a/seampond/forwarding/progress.py
+++ b/seampond/forwarding/progress.py
@@ -5,8 +5,8 @@
 from typing import Protocol
 
 from seampond.forwarding.events import EventSplitter
-from seampond.forwarding.heads import Head
 from seampond.forwarding.job import Job
+from seampond.forwarding.response_head import ResponseHead
 
 
 class Sink(Protocol):
@@ -14,7 +14,7 @@
 
     has_started: bool
 
-    async def start(self, head: Head, length: int | None) -> None:
+    async def start(self, head: ResponseHead, length: int | None) -> None:
         """Send the head; `length` is None for a stream."""
 
     async def send(self, payload: bytes) -> None:
@@ -39,7 +39,7 @@
 class Answer:
     """A whole answer that is kept in case no better one comes."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
 
 
--- a/seampond/forwarding/packets.py
+++ b/seampond/forwarding/request_encoding.py
@@ -20,7 +20,7 @@
 )
 
 
-def is_passed_on(name: bytes, names: HeaderNames) -> bool:
+def is_forwarded(name: bytes, names: HeaderNames) -> bool:
     """Whether a header of a caller reaches the server.
 
     Explanation
@@ -42,14 +42,14 @@
     return name in names.from_callers or not name.startswith(names.reserved)
 
 
-def make_packet(
+def encode_request(
     job: Job, names: HeaderNames, instance: str, now_ms: int
 ) -> bytes:
     """Give the bytes of the request for one server.
 
     Explanation
     -----------
-    The caller's headers are passed on as :func:`is_passed_on` says.  The
+    The caller's headers are passed on as :func:`is_forwarded` says.  The
     server gets the time that is left.
     """
     replaced = {names.last_event} if job.last_event else set()
@@ -58,7 +58,7 @@
     lines.extend(
         b'%b: %b' % (name, text)
         for name, text in job.headers
-        if is_passed_on(name, names) and name not in replaced
+        if is_forwarded(name, names) and name not in replaced
     )
     lines.append(b'%b: %b' % (names.expect_instance, instance.encode()))
     lines.append(b'%b: %d' % (names.deadline, left_ms))
--- a/seampond/forwarding/heads.py
+++ b/seampond/forwarding/response_head.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Head:
+class ResponseHead:
     """The status and the headers of an answer, names in lower case."""
 
     status: int = 0
@@ -57,12 +57,13 @@
         return any(known == name for known, _ in self.headers)
 
 
-def parse_idle_ms(head: Head) -> int:
+def parse_keep_alive_ms(head: ResponseHead) -> int:
     """Give how long the connection of this answer may rest.
 
     Examples
     --------
-    >>> parse_idle_ms(Head(200, [(b'keep-alive', b'timeout=5, max=9')]))
+    >>> head = ResponseHead(200, [(b'keep-alive', b'timeout=5, max=9')])
+    >>> parse_keep_alive_ms(head)
     3800
 
     """
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -14,7 +14,7 @@
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.retry_times import spread_retry_ms
 from seampond.forwarding.scoring import Score, score_backend
-from seampond.forwarding.versions import ANY_VERSION, Versions
+from seampond.forwarding.versions import ANY_VERSION, VersionPolicy
 from seampond.promises import Promises, Rule
 
 # A refusal within a quarter of the target leaves time for another try.
@@ -48,7 +48,7 @@
     ----------
     count_gateways : Callable[[], int]
         How many gateways share the servers.
-    versions : Versions
+    versions : VersionPolicy
         Which versions of the servers' software a request may go to.
     give_return_ms : RetryAfterFunction
         After how long who is turned away should come back, by the request,
@@ -68,7 +68,7 @@
         clock: Clock,
         count_gateways: Callable[[], int],
         promises: Promises,
-        versions: Versions = ANY_VERSION,
+        versions: VersionPolicy = ANY_VERSION,
         give_return_ms: RetryAfterFunction = spread_retry_ms,
     ) -> None:
         """Start with nobody waiting."""
@@ -235,7 +235,7 @@
     def _occupy(self, backend: Backend, job: Job) -> Backend:
         job.permit = self.availability.take(backend, job)
         backend.note_place()
-        self._versions.note_placed(backend)
+        self._versions.record_placement(backend)
         return backend
 
     def _find(
--- a/seampond/forwarding/server.py
+++ b/seampond/forwarding/server.py
@@ -13,7 +13,7 @@
         The version of its software, empty if none is told.
     cold_ms : int
         How much longer it is slow from its start, when its row was written.
-    born_ms : int
+    started_ms : int
         When it started, by the time of day; 0 if its row does not tell.
 
     """
@@ -26,16 +26,16 @@
     is_draining: bool = False
     version: str = ''
     cold_ms: int = 0
-    born_ms: int = 0
+    started_ms: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The name of one life: a server may start again under its id.
 
         Examples
         --------
-        >>> Server('i-1', 'llm', '', '', 1, born_ms=7).life
+        >>> Server('i-1', 'llm', '', '', 1, started_ms=7).incarnation
         'i-1/7'
 
         """
-        return f'{self.id}/{self.born_ms}' if self.born_ms else self.id
+        return f'{self.id}/{self.started_ms}' if self.started_ms else self.id
--- a/seampond/forwarding/server_signals.py
+++ b/seampond/forwarding/server_signals.py
@@ -8,8 +8,8 @@
 from http import HTTPStatus
 
 from seampond.clock import MS_PER_SECOND
-from seampond.forwarding.heads import Head
 from seampond.forwarding.models import HeaderNames
+from seampond.forwarding.response_head import ResponseHead
 
 _RETRY_AFTER = b'retry-after'
 _YES = b'1'
@@ -43,7 +43,7 @@
     is_own: bool = True
 
 
-def parse_signals(head: Head, names: HeaderNames) -> ServerSignals:
+def parse_signals(head: ResponseHead, names: HeaderNames) -> ServerSignals:
     """Read what an answer says of its server.
 
     Explanation
@@ -54,7 +54,8 @@
     Examples
     --------
     >>> from seampond.testing.gateways import NAMES
-    >>> parse_signals(Head(503, [(b'retry-after', b'2.5')]), NAMES).backoff_ms
+    >>> head = ResponseHead(503, [(b'retry-after', b'2.5')])
+    >>> parse_signals(head, NAMES).backoff_ms
     2500
 
     """
@@ -109,7 +110,7 @@
     return round(min(max(seconds, 0), most_s) * MS_PER_SECOND)
 
 
-def _read_limit(head: Head, wanted: bytes) -> float | None:
+def _read_limit(head: ResponseHead, wanted: bytes) -> float | None:
     """Give the lowest limit that an answer names."""
     limits = [
         parse_limit(text.decode('latin-1'))
--- a/seampond/forwarding/signal_state.py
+++ b/seampond/forwarding/signal_state.py
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    born_ms : int
+    started_ms : int
         When that life began, 0 as long as no row has told.
     drain_until_ms : int
         Until when a server that leaves may still be sent to.
@@ -43,7 +43,7 @@
 
     """
 
-    born_ms: int = 0
+    started_ms: int = 0
     is_draining: bool = False
     drain_until_ms: int = 0
     backoff_until_ms: int = 0
@@ -84,9 +84,9 @@
     def of(self, server: Server) -> SignalState:
         """Give the notice of the life that a row names."""
         kept = self._by_id.get(server.id)
-        if kept is None or 0 < kept.born_ms < server.born_ms:
-            return SignalState(server.born_ms)
-        kept.born_ms = kept.born_ms or server.born_ms
+        if kept is None or 0 < kept.started_ms < server.started_ms:
+            return SignalState(server.started_ms)
+        kept.started_ms = kept.started_ms or server.started_ms
         return kept
 
     def take_row(self, server: Server, signals: SignalState) -> None:
@@ -162,7 +162,7 @@
 
     def _keep(self, server_id: str, signals: SignalState) -> None:
         kept = self._by_id.get(server_id)
-        if kept is not None and kept.born_ms > signals.born_ms:
+        if kept is not None and kept.started_ms > signals.started_ms:
             # An answer of an earlier life.
             return
         self._by_id[server_id] = signals
--- a/seampond/forwarding/tests/test_exchange.py
+++ b/seampond/forwarding/tests/test_connection.py
@@ -5,8 +5,8 @@
 from types import MappingProxyType
 
 from seampond.clock import Clock
-from seampond.forwarding.exchange import Connection, open_connection
-from seampond.forwarding.heads import ExchangeError
+from seampond.forwarding.connection import Connection, open_connection
+from seampond.forwarding.response_head import ExchangeError
 from seampond.testing.gateways import ID_HEADER
 from seampond.testing.scripted import (
     Received,
@@ -23,7 +23,7 @@
     head = await connection.read_head()
     parts: list[bytes] = []
     while True:
-        part = await connection.read_part()
+        part = await connection.read_chunk()
         if part is None:
             return head.status, b''.join(parts)
         parts.append(part)
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -13,8 +13,8 @@
 from seampond.forwarding.attempt import Attempt
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.exchange import Connection
-from seampond.forwarding.forwarder import CutError
+from seampond.forwarding.connection import Connection
+from seampond.forwarding.forwarder import AbortedResponseError
 from seampond.forwarding.models import Kind
 from seampond.forwarding.progress import Outcome, Progress
 from seampond.forwarding.refusals import Cause, Refusal
@@ -192,7 +192,7 @@
     async def test_broken_stream_that_may_not_resume_is_cut(self) -> None:
         """An answer that was cut never looks whole."""
         route = build_route(kind=Kind.stream, attempts=2)
-        with self.assertRaises(CutError):
+        with self.assertRaises(AbortedResponseError):
             await self._forward(_break_stream, _end_stream, route=route)
         self.assertFalse(self._sink.is_whole)
         self.assertEqual(self.sends, 1)
--- a/seampond/forwarding/tests/test_lives.py
+++ b/seampond/forwarding/tests/test_incarnations.py
@@ -20,7 +20,7 @@
     def setUp(self) -> None:
         """Know a server, and believe much of it."""
         self.clock = ManualClock(1000)
-        self.first = build_server('i-1', born_ms=100)
+        self.first = build_server('i-1', started_ms=100)
         self.backends = build_backends([self.first], self.clock)
         self.earlier = pick(self.backends, 'i-1')
         self.earlier.note_failure(1000)
@@ -31,7 +31,9 @@
 
     def test_nothing_believed_of_the_earlier_life_holds_on(self) -> None:
         """Failures, pause, prompts, reports, speed, open requests."""
-        self.backends.take([replace(self.first, born_ms=200, cold_ms=50)], [])
+        self.backends.take(
+            [replace(self.first, started_ms=200, cold_ms=50)], []
+        )
         later = pick(self.backends, 'i-1')
         self.assertEqual(
             (later.failures, later.paused_until_ms, later.in_flight), (0, 0, 0)
@@ -44,30 +46,30 @@
 
     def test_nothing_is_sent_to_a_life_that_is_over(self) -> None:
         """Whoever still holds it is told so before the send."""
-        self.backends.take([replace(self.first, born_ms=200)], [])
+        self.backends.take([replace(self.first, started_ms=200)], [])
         self.assertFalse(self.earlier.may_send(1000))
         self.assertFalse(self.earlier.takes_work)
 
     def test_a_row_of_an_earlier_life_comes_late(self) -> None:
         """It does not bring that life back."""
-        self.backends.take([replace(self.first, born_ms=200)], [])
+        self.backends.take([replace(self.first, started_ms=200)], [])
         later = pick(self.backends, 'i-1')
         self.backends.take([self.first], [])
         self.assertIs(pick(self.backends, 'i-1'), later)
-        self.assertEqual(later.server.born_ms, 200)
+        self.assertEqual(later.server.started_ms, 200)
 
     def test_a_row_without_a_start_is_as_before(self) -> None:
         """The same life, and its start stays known."""
-        self.backends.take([replace(self.first, born_ms=0, slots=9)], [])
+        self.backends.take([replace(self.first, started_ms=0, slots=9)], [])
         self.assertIs(pick(self.backends, 'i-1'), self.earlier)
         self.assertEqual(self.earlier.server.slots, 9)
-        self.assertEqual(self.earlier.server.born_ms, 100)
+        self.assertEqual(self.earlier.server.started_ms, 100)
 
     def test_words_on_the_earlier_life_are_not_of_this_one(self) -> None:
         """Loads are told by life."""
         backends = build_backends([], self.clock)
         backends._hash_name = hash_name  # noqa: SLF001
-        backends.take([replace(self.first, born_ms=200)], [])
+        backends.take([replace(self.first, started_ms=200)], [])
         backends.take_others({hash_name('i-1/100'): OthersLoad(7, 0, 1000)})
         self.assertIsNone(pick(backends, 'i-1').others)
         backends.take_others({hash_name('i-1/200'): OthersLoad(2, 0, 1000)})
--- a/seampond/forwarding/tests/test_server_signals.py
+++ b/seampond/forwarding/tests/test_server_signals.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from seampond.forwarding.heads import Head
+from seampond.forwarding.response_head import ResponseHead
 from seampond.forwarding.server_signals import (
     BACKOFF_MAX_MS,
     LIMIT_MAX_PER_SECOND,
@@ -87,13 +87,13 @@
 
     def test_the_longest_of_several_counts(self) -> None:
         """Each of them was asked for."""
-        head = Head(503, [(_RETRY_AFTER, b'1'), (_RETRY_AFTER, b'4')])
+        head = ResponseHead(503, [(_RETRY_AFTER, b'1'), (_RETRY_AFTER, b'4')])
         self.assertEqual(parse_signals(head, NAMES).backoff_ms, 4000)
 
     def test_other_answers_ask_for_nothing(self) -> None:
         """The same header has another meaning there."""
         for status in (200, 301, 429, 500):
-            head = Head(status, [(_RETRY_AFTER, b'4')])
+            head = ResponseHead(status, [(_RETRY_AFTER, b'4')])
             self.assertEqual(parse_signals(head, NAMES), ServerSignals())
 
 
@@ -103,23 +103,23 @@
     def test_any_answer_counts(self) -> None:
         """Errors and redirects are answers of that server, too."""
         for status in (200, 204, 301, 404, 429, 500, 503):
-            head = Head(status, [(_LEAVING, b' 1 ')])
+            head = ResponseHead(status, [(_LEAVING, b' 1 ')])
             self.assertTrue(parse_signals(head, NAMES).is_draining)
 
     def test_misdirected_requests_are_answered_by_another(self) -> None:
         """Its word is not that of the server that was asked."""
-        head = Head(HTTPStatus.MISDIRECTED_REQUEST, [(_LEAVING, b'1')])
+        head = ResponseHead(HTTPStatus.MISDIRECTED_REQUEST, [(_LEAVING, b'1')])
         self.assertFalse(parse_signals(head, NAMES).is_draining)
 
     def test_one_of_several_is_enough(self) -> None:
         """Whichever comes first."""
-        head = Head(200, [(_LEAVING, b'0'), (_LEAVING, b'1')])
+        head = ResponseHead(200, [(_LEAVING, b'0'), (_LEAVING, b'1')])
         self.assertTrue(parse_signals(head, NAMES).is_draining)
 
     def test_another_word_is_none(self) -> None:
         """Nothing else says that it leaves."""
         for text in (b'', b'0', b'no', b'11'):
-            head = Head(200, [(_LEAVING, text)])
+            head = ResponseHead(200, [(_LEAVING, text)])
             self.assertFalse(parse_signals(head, NAMES).is_draining)
 
 
@@ -146,15 +146,15 @@
             ((b'few', b'2'), 2),
             ((b'few',), None),
         ):
-            head = Head(200, [(_LIMIT, text) for text in texts])
+            head = ResponseHead(200, [(_LIMIT, text) for text in texts])
             self.assertEqual(parse_signals(head, NAMES).limit, expected)
 
     def test_any_answer_of_that_server_counts(self) -> None:
         """A misdirected request is answered by another."""
         for status in (200, 301, 404, 429, 500, 503):
-            head = Head(status, [(_LIMIT, b'2')])
+            head = ResponseHead(status, [(_LIMIT, b'2')])
             self.assertEqual(parse_signals(head, NAMES).limit, 2)
-        head = Head(HTTPStatus.MISDIRECTED_REQUEST, [(_LIMIT, b'2')])
+        head = ResponseHead(HTTPStatus.MISDIRECTED_REQUEST, [(_LIMIT, b'2')])
         self.assertEqual(
             parse_signals(head, NAMES), ServerSignals(is_own=False)
         )
--- a/seampond/forwarding/tests/test_signal_state.py
+++ b/seampond/forwarding/tests/test_signal_state.py
@@ -32,7 +32,7 @@
     def setUp(self) -> None:
         """Know the server."""
         self.clock = ManualClock(_NOW_MS)
-        self.row = build_server('i-1', born_ms=100)
+        self.row = build_server('i-1', started_ms=100)
         self.backends = Backends(self.clock, NAMES.request_id, _GRACE_MS)
         self.backends.take([self.row], [])
 
@@ -53,7 +53,7 @@
         """Nor do whole reads of the list, nor rows without a start."""
         self.say(_LEAVES)
         self.clock.advance(_GRACE_MS)
-        for row in (self.row, replace(self.row, born_ms=0)):
+        for row in (self.row, replace(self.row, started_ms=0)):
             self.backends.take([row], [])
             self.check_used(expected=False)
             self.backends.keep_only([row])
@@ -101,11 +101,11 @@
         self.say(_LEAVES)
         self.say(_RESTS)
         earlier = self.backend
-        self.backends.take([replace(self.row, born_ms=200)], [])
+        self.backends.take([replace(self.row, started_ms=200)], [])
         self.check_used(expected=True)
         self.backends.apply_signals(earlier, _LEAVES, 0)
         self.backends.take([], ['i-1'])
-        self.backends.take([replace(self.row, born_ms=200)], [])
+        self.backends.take([replace(self.row, started_ms=200)], [])
         self.check_used(expected=True)
 
     def test_a_start_that_is_told_later(self) -> None:
@@ -114,7 +114,7 @@
         self.say(_LEAVES)
         self.backends.take([self.row], [])
         self.check_used(expected=False)
-        self.backends.take([replace(self.row, born_ms=200)], [])
+        self.backends.take([replace(self.row, started_ms=200)], [])
         self.check_used(expected=True)
 
     def test_rest_is_over_after_its_time(self) -> None:
--- a/seampond/forwarding/versions.py
+++ b/seampond/forwarding/versions.py
@@ -8,7 +8,7 @@
 from seampond.forwarding.progress import Try
 
 
-class Versions(Protocol):
+class VersionPolicy(Protocol):
     """Chooses among versions, and learns from what becomes of it."""
 
     def group(
@@ -16,10 +16,10 @@
     ) -> Sequence[Sequence[Backend]]:
         """Give the servers to look at, those that come first before others."""
 
-    def note_placed(self, backend: Backend) -> None:
+    def record_placement(self, backend: Backend) -> None:
         """Note that a request was given a place on a server."""
 
-    def note_try(self, job: Job, backend: Backend, tried: Try) -> None:
+    def record_attempt(self, job: Job, backend: Backend, tried: Try) -> None:
         """Note how a send to a server ended."""
 
 
@@ -32,10 +32,10 @@
         """Give all of them."""
         return (known,)
 
-    def note_placed(self, backend: Backend) -> None:
+    def record_placement(self, backend: Backend) -> None:
         """Learn nothing."""
 
-    def note_try(self, job: Job, backend: Backend, tried: Try) -> None:
+    def record_attempt(self, job: Job, backend: Backend, tried: Try) -> None:
         """Learn nothing."""
 
 
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -9,7 +9,7 @@
 
 from seampond.clock import Clock
 from seampond.forwarding.admission import ConfigurationState
-from seampond.forwarding.app import GatewayWeb
+from seampond.forwarding.app import GatewayApp
 from seampond.forwarding.backend import OthersLoad
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.retries import RetryBudget
@@ -55,7 +55,7 @@
     belief: ConfigurationState
     backends: Backends
     scheduler: Scheduler
-    web: GatewayWeb
+    web: GatewayApp
     configuration: ConfigurationFollower
     currencies: Mapping[str, TableFreshness]
     peers: Peers
@@ -206,7 +206,7 @@
 
     def _loads(self) -> dict[int, Load]:
         return {
-            hash_name(backend.server.life): Load(
+            hash_name(backend.server.incarnation): Load(
                 backend.in_flight, backend.own_unread
             )
             for backend in self.backends
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -10,8 +10,8 @@
 
 from seampond.clock import Clock
 from seampond.errors import PlatformError
-from seampond.forwarding.app import Stop
-from seampond.forwarding.web import CallerProtocol
+from seampond.forwarding.app import PlannedStop
+from seampond.forwarding.caller_protocol import CallerProtocol
 from seampond.gateway.components import GatewayComponents
 from seampond.gateway.rollouts import execute_rollouts
 from seampond.gateway.stalls import record_stalls
@@ -101,15 +101,15 @@
         web, clock = self.components.web, self.components.clock
         settings = self.components.settings
         now_ms = clock.now()
-        stop = Stop(
+        stop = PlannedStop(
             now_ms + settings.linger_ms,
             now_ms + settings.bounds.stop_ms - _STOP_MARGIN_MS,
         )
         web.stop = stop
         _logger.info('gateway stops', extra={'open': web.open_requests})
         await clock.sleep(settings.linger_ms)
-        await web.finish_open()
-        await self.server.drain(stop.closes_ms - clock.now())
+        await web.wait_for_open_requests()
+        await self.server.drain(stop.close_ms - clock.now())
         _logger.info('gateway stopped', extra={'open': web.open_requests})
 
 
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -39,8 +39,8 @@
     def count_open(self, version: str) -> int:
         """Give the open work on the old version after the start."""
         clock = ManualClock(1000)
-        first = build_server('i-1', version=OLD, born_ms=100)
-        other = build_server('i-2', version=NEW, born_ms=100)
+        first = build_server('i-1', version=OLD, started_ms=100)
+        other = build_server('i-2', version=NEW, started_ms=100)
         backends = build_backends([first, other], clock)
         rollouts = RolloutManager(
             ExposureLimits(0.1, 50),
@@ -54,7 +54,7 @@
         earlier = pick(backends, 'i-1')
         earlier.note_place()
         self.assertEqual(rollouts.count_open_old(POOL), 1)
-        later = replace(first, version=version, born_ms=200)
+        later = replace(first, version=version, started_ms=200)
         backends.take([later], [])
         earlier.note_release()
         return rollouts.count_open_old(POOL)
@@ -88,7 +88,7 @@
         tried = Try('i-1', 0, 1, _USUAL_MS, took_ms, took_ms=took_ms)
         tried.outcome = Outcome.whole.value
         job = build_job(route=route, pool=POOL)
-        self.versions.note_try(job, backend, tried)
+        self.versions.record_attempt(job, backend, tried)
 
     def count_bad(self, route: Route, *seen_ms: int) -> int:
         """Give how many answers of the new version were taken for bad."""
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -40,11 +40,11 @@
         draw = self.rng.random() if is_fresh else None
         return self.rollouts.group(job.pool, known, self.clock.now(), draw)
 
-    def note_placed(self, backend: Backend) -> None:
+    def record_placement(self, backend: Backend) -> None:
         """Count a request against what may be exposed."""
         self.rollouts.note_placed(backend.server.pool, backend.server.version)
 
-    def note_try(self, job: Job, backend: Backend, tried: Try) -> None:
+    def record_attempt(self, job: Job, backend: Backend, tried: Try) -> None:
         """Count an answer as good, failed or slow."""
         if tried.outcome == Outcome.unreached.value:
             return
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -9,9 +9,9 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.forwarding.admission import Admission, ConfigurationState
-from seampond.forwarding.app import GatewayWeb
+from seampond.forwarding.app import GatewayApp
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.forwarder import Forwarder, ForwarderParts
+from seampond.forwarding.forwarder import Forwarder, ForwarderContext
 from seampond.forwarding.retries import RetryBudget
 from seampond.forwarding.scheduler import Scheduler
 from seampond.gateway.bounds import (
@@ -206,7 +206,7 @@
         scheduler.has_spare_capacity,
     )
     forwarder = Forwarder(
-        ForwarderParts(
+        ForwarderContext(
             backends,
             scheduler,
             budget,
@@ -219,7 +219,7 @@
             versions,
         )
     )
-    web = GatewayWeb(
+    web = GatewayApp(
         admission,
         forwarder,
         metrics,
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -112,7 +112,7 @@
         limit = backend.signals.limit
         if limit.has_permit(self._clock.now()):
             return True
-        key = hash_name(backend.server.life)
+        key = hash_name(backend.server.incarnation)
         if not self._owners.is_ours(key):
             return False
         return self._giver.has_permit(key, limit, for_retry=for_retry)
@@ -123,7 +123,7 @@
         """Take up a permit to send now."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         permit = limit.take_permit(now_ms)
-        key = hash_name(backend.server.life)
+        key = hash_name(backend.server.incarnation)
         if permit is None and self._owners.is_ours(key):
             self.ask(backend, 0, for_retry=for_retry)
             permit = limit.take_permit(now_ms)
@@ -134,7 +134,7 @@
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
         limit, now_ms = backend.signals.limit, self._clock.now()
-        key = hash_name(backend.server.life)
+        key = hash_name(backend.server.incarnation)
         limit.drop_old(now_ms)
         if self._owners.is_ours(key):
             wait_ms = self._giver.give(
@@ -168,7 +168,10 @@
             in time.
 
         """
-        limit, key = backend.signals.limit, hash_name(backend.server.life)
+        limit, key = (
+            backend.signals.limit,
+            hash_name(backend.server.incarnation),
+        )
         if self._owners.is_ours(key):
             wait_ms = self._giver.reserve(key, limit)
         else:
@@ -181,7 +184,7 @@
     def available_ms(self, backend: Backend, *, for_retry: bool = False) -> int:
         """Give the time before which there is no other permit for us."""
         limit, now_ms = backend.signals.limit, self._clock.now()
-        key = hash_name(backend.server.life)
+        key = hash_name(backend.server.incarnation)
         if self._owners.is_ours(key):
             return self._giver.available_ms(key, limit, for_retry=for_retry)
         self._look_after(limit, now_ms)
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -41,7 +41,7 @@
         self.sequence = 0
         self.hear_all()
         self.backends = Backends(clock, NAMES.request_id, hash_name=hash_name)
-        self.backends.keep_only([build_server('i-1', born_ms=7)])
+        self.backends.keep_only([build_server('i-1', started_ms=7)])
         self.counted: list[str] = []
         self.permit_manager = PermitManager(
             self.peers,
--- a/seampond/platform/servers.py
+++ b/seampond/platform/servers.py
@@ -65,5 +65,5 @@
         is_draining=row.state == names.DRAINING,
         version=row.version,
         cold_ms=round(row.cold_left_ms),
-        born_ms=row.born,
+        started_ms=row.born,
     )
--- a/seampond/platform/store.py
+++ b/seampond/platform/store.py
@@ -18,8 +18,12 @@
     PlatformError,
     UnknownOutcomeError,
 )
-from seampond.forwarding.exchange import Connection, open_connection
-from seampond.forwarding.heads import ExchangeError, Head, parse_idle_ms
+from seampond.forwarding.connection import Connection, open_connection
+from seampond.forwarding.response_head import (
+    ExchangeError,
+    ResponseHead,
+    parse_keep_alive_ms,
+)
 from seampond.platform import names
 from seampond.watches import (
     HistoryGoneError,
@@ -285,7 +289,7 @@
 
     async def _ask(
         self, target: str, body: bytes | None
-    ) -> tuple[Connection, Head]:
+    ) -> tuple[Connection, ResponseHead]:
         """Send one call; give the head of its answer."""
         connection = self._connection
         if connection is None or not connection.is_usable:
@@ -299,7 +303,7 @@
         self._note_era(head)
         return connection, head
 
-    def _note_era(self, head: Head) -> None:
+    def _note_era(self, head: ResponseHead) -> None:
         """Take the era that an answer tells, whatever else it says.
 
         Raises
@@ -320,10 +324,12 @@
             _logger.warning('store was restored', extra={'era': era})
         self._era = era
 
-    async def _finish(self, connection: Connection, head: Head) -> bytes:
+    async def _finish(
+        self, connection: Connection, head: ResponseHead
+    ) -> bytes:
         """Give the body of an answer, as long as it keeps coming."""
-        text = await connection.read_whole(_ANSWER_MAX_BYTES, _SILENCE_MS)
-        if not connection.finish(parse_idle_ms(head)):
+        text = await connection.read_body(_ANSWER_MAX_BYTES, _SILENCE_MS)
+        if not connection.finish(parse_keep_alive_ms(head)):
             self._connection = None
         return text
 
--- a/seampond/platform/tests/test_headers.py
+++ b/seampond/platform/tests/test_headers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from seampond.forwarding.packets import make_packet
+from seampond.forwarding.request_encoding import encode_request
 from seampond.platform.names import HEADERS
 from seampond.testing.gateways import build_job
 
@@ -43,7 +43,7 @@
     # The web server hands names on in lower case.
     given = [(name.lower(), text) for name, text in headers]
     job = build_job(headers=given)
-    head = make_packet(job, HEADERS, _INSTANCE, job.arrived_ms)
+    head = encode_request(job, HEADERS, _INSTANCE, job.arrived_ms)
     lines = head.partition(b'\r\n\r\n')[0].split(b'\r\n')[1:]
     pairs = [line.partition(b': ') for line in lines]
     return [(name, text) for name, _, text in pairs]
--- a/seampond/quarantine/quarantine.py
+++ b/seampond/quarantine/quarantine.py
@@ -149,12 +149,14 @@
 
     def note_end(self, job: Job, server: Server, started_ms: int) -> None:
         """Note that a connection broke with a request on it."""
-        self._note(job.fingerprint, self._hash_name(server.life), started_ms)
+        self._note(
+            job.fingerprint, self._hash_name(server.incarnation), started_ms
+        )
         self.note_over(server)
 
     def note_over(self, server: Server) -> None:
         """Note that a server has ended: runs given up shortly before count."""
-        life = self._hash_name(server.life)
+        life = self._hash_name(server.incarnation)
         oldest_ms = self._clock.now() - _LEFT_MS
         for run in list(self._left):
             if run.at_ms < oldest_ms:
@@ -165,7 +167,7 @@
 
     def note_left(self, job: Job, server: Server, started_ms: int) -> None:
         """Note that a run was given up while its server was at work."""
-        life = self._hash_name(server.life)
+        life = self._hash_name(server.incarnation)
         now_ms = self._clock.now()
         self._left.append(
             AbandonedRun(job.fingerprint, life, started_ms, now_ms)
--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -89,7 +89,7 @@
     run_ms: int = 50
     is_back: bool = True
     row: dict[str, Any] = field(default_factory=dict)
-    born_ms: int = 0
+    started_ms: int = 0
     _address: str = ''
     _listening: asyncio.Server | None = None
     _open: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -108,12 +108,12 @@
         )
         host, port = self._listening.sockets[0].getsockname()[:2]
         self._address = f'{host}:{port}'
-        self.born_ms = time.time_ns() // 1_000_000
+        self.started_ms = time.time_ns() // 1_000_000
         self.put_row()
 
     def put_row(self, **changes: Any) -> None:
         """Write its row, as it does itself."""
-        content = {'born': self.born_ms} | self.row | changes
+        content = {'born': self.started_ms} | self.row | changes
         put_server(self.store, self.id, self._address, **content)
 
     def crash(self) -> None:
@@ -163,7 +163,7 @@
             self.id,
             request.body,
             request.get(ID_HEADER),
-            self.born_ms,
+            self.started_ms,
         )
         self.note(sent)
         return sent
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -7,8 +7,7 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.forwarder import Forwarder, ForwarderParts
-from seampond.forwarding.heads import Head
+from seampond.forwarding.forwarder import Forwarder, ForwarderContext
 from seampond.forwarding.job import Job, Prompt
 from seampond.forwarding.models import (
     HeaderNames,
@@ -18,6 +17,7 @@
     Tenant,
 )
 from seampond.forwarding.progress import Progress
+from seampond.forwarding.response_head import ResponseHead
 from seampond.forwarding.retries import RetryBudget
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server import Server
@@ -65,10 +65,10 @@
         """Start with nothing."""
         self.has_started = False
         self.is_whole = False
-        self.head = Head()
+        self.head = ResponseHead()
         self.body = b''
 
-    async def start(self, head: Head, length: int | None) -> None:
+    async def start(self, head: ResponseHead, length: int | None) -> None:
         """Keep the head."""
         assert not self.has_started
         self.has_started = True
@@ -169,7 +169,7 @@
     clock = Clock()
     wide = RetryBudget(0, allowance, 10_000, lambda: gateways, clock)
     return Forwarder(
-        ForwarderParts(
+        ForwarderContext(
             backends,
             Scheduler(
                 backends, ZONE, clock, lambda: gateways, build_promises()
--- a/seampond/testing/saying.py
+++ b/seampond/testing/saying.py
@@ -96,7 +96,7 @@
     @property
     def has_told_row(self) -> bool:
         """Whether the row of this life has said that it leaves."""
-        return self._row_left == self.born_ms
+        return self._row_left == self.started_ms
 
     async def start(self) -> None:
         """Begin a life in which nothing has been said."""
@@ -108,7 +108,7 @@
     def put_row(self, **changes: Any) -> None:
         """Write its row, and keep in mind what it said."""
         if changes.get('state') == DRAINING:
-            self._row_left = self.born_ms
+            self._row_left = self.started_ms
         super().put_row(**changes)
 
     async def _answer(
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -108,13 +108,13 @@
 async def _leave(scene: Scene) -> None:
     """Let a server say that it leaves, with its row or without, and end."""
     server = scene.rng.choice(scene.fleet.saying)
-    born_ms = server.born_ms
+    started_ms = server.started_ms
     server.leaves = True
     await scene.clock.sleep(scene.rng.uniform(0, _LEAVE_MS))
-    if scene.rng.random() < _ROW_PART and server.born_ms == born_ms:
+    if scene.rng.random() < _ROW_PART and server.started_ms == started_ms:
         server.put_row(state=DRAINING)
     await scene.clock.sleep(_LEAVE_MS)
-    if server.born_ms == born_ms:
+    if server.started_ms == started_ms:
         server.crash()
 
 
