--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -52,19 +52,19 @@
     clock: Clock
     metrics: GatewayMetrics
     promises: Promises
-    belief: ConfigurationState
+    configuration_state: ConfigurationState
     backends: Backends
     scheduler: Scheduler
     web: GatewayApp
-    configuration: ConfigurationFollower
-    currencies: Mapping[str, TableFreshness]
+    configuration_follower: ConfigurationFollower
+    freshness: Mapping[str, TableFreshness]
     peers: Peers
     quotas: Quotas
-    budget: RetryBudget
-    is_urgent: asyncio.Event
+    retry_budget: RetryBudget
+    is_heartbeat_due: asyncio.Event
     incarnation: int
-    servers: ServerFollower
-    rollouts: RolloutFollower
+    server_follower: ServerFollower
+    rollout_follower: RolloutFollower
     quarantine: Quarantine
     permit_manager: PermitManager
     stalls: EventLoopStalls
@@ -76,20 +76,20 @@
         """Whether callers are to be sent here."""
         is_known = all(
             (
-                self.belief.configuration is not None,
-                self.servers.is_known,
-                self.rollouts.rollouts.is_known,
+                self.configuration_state.configuration is not None,
+                self.server_follower.is_loaded,
+                self.rollout_follower.rollouts.is_known,
                 self.quarantine.trials.is_known,
             )
         )
         return is_known and not self.web.is_stopping
 
     @property
-    def is_cut(self) -> bool:
+    def is_store_unreachable(self) -> bool:
         """Whether our calls to the store fail."""
         return any(watch.is_failing for watch in self.watches.values())
 
-    def apply(self, settings: GatewaySettings) -> list[str]:
+    def apply_settings(self, settings: GatewaySettings) -> list[str]:
         """Take changed settings; give the keys that changed.
 
         Explanation
@@ -101,16 +101,16 @@
         self.settings = settings
         bounds = settings.bounds
         self.web.admission.proof_ms = bounds.proof_ms
-        self.budget.set_bounds(bounds.retry_ratio, bounds.retry_allowance)
+        self.retry_budget.set_bounds(bounds.retry_ratio, bounds.retry_allowance)
         self.quotas.margin = make_quota_margin(bounds)
-        self.rollouts.rollouts.limits = make_exposure_limits(bounds)
+        self.rollout_follower.rollouts.limits = make_exposure_limits(bounds)
         self.backends.grace_ms = compute_grace_ms(bounds)
         return sorted(key for key in after if before.get(key) != after[key])
 
-    def take_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take what another gateway has told."""
         self.quotas.take_heartbeat(heartbeat)
-        self.rollouts.rollouts.take_reports(
+        self.rollout_follower.rollouts.take_reports(
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
         self.quarantine.take(heartbeat.ends, heartbeat.good)
@@ -118,7 +118,7 @@
         # Before the proofs, which ask for what is missing.
         for told in heartbeat.pages:
             self._take_page(told)
-        for table, currency in self.currencies.items():
+        for table, currency in self.freshness.items():
             proof = heartbeat.proofs.get(hash_name(table))
             if proof is not None:
                 currency.take_proof(proof)
@@ -130,7 +130,9 @@
             }
         )
 
-    def take_permit(self, message: PermitRequest | PermitReply) -> None:
+    def handle_permit_message(
+        self, message: PermitRequest | PermitReply
+    ) -> None:
         """Take what another gateway asks or answers on permits."""
         if isinstance(message, PermitRequest):
             self.permit_manager.take_ask(message)
@@ -152,21 +154,21 @@
             self._loads(),
             proofs=self._proofs(),
             levels=self.quotas.tell_levels(),
-            is_cut=self.is_cut,
+            is_cut=self.is_store_unreachable,
             pages=tuple(self._pages),
-            rollouts=self.rollouts.rollouts.make_reports(),
+            rollouts=self.rollout_follower.rollouts.make_reports(),
             ends=tuple(self.quarantine.suspects.tell_ends()),
             good=self.quarantine.suspects.tell_good(),
             limits=self.permit_manager.tell(),
             gives_permits=True,
         )
 
-    def note_told(self) -> None:
+    def record_heartbeat_sent(self) -> None:
         """Note that all others were sent the heartbeat that was just made."""
         self.quotas.note_told()
         self._pages.clear()
 
-    def pass_on(self, table: str, since: int, page: Page) -> None:
+    def relay(self, table: str, since: int, page: Page) -> None:
         """Tell the others at once what the store has told us.
 
         Explanation
@@ -175,7 +177,7 @@
         has the rows, which saves each of them one.  A configuration is too
         large for a datagram; the others hear that there is one.
         """
-        self.is_urgent.set()
+        self.is_heartbeat_due.set()
         if not page.rows or len(self._pages) >= _PAGES_MAX:
             return
         if sum(row.size for row in page.rows) > _PAGE_MAX_BYTES:
@@ -200,7 +202,7 @@
         oldest_ms = self.clock.now() - _PROOF_TOLD_MS
         return {
             hash_name(table): currency.proof
-            for table, currency in self.currencies.items()
+            for table, currency in self.freshness.items()
             if currency.proof is not None and currency.told_ms > oldest_ms
         }
 
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -87,7 +87,7 @@
 
     def reload(self, settings: GatewaySettings) -> None:
         """Take changed settings; nothing that runs is touched."""
-        changed = self.components.apply(settings)
+        changed = self.components.apply_settings(settings)
         _logger.info('settings reloaded', extra={'changed': changed})
 
     async def drain(self) -> None:
@@ -144,13 +144,13 @@
             store.call_ms,
             clock,
             count,
-            components.currencies[table],
+            components.freshness[table],
             pace.pause_ms,
             pace.gather_ms,
             lambda: components.peers.stretch,
             lambda: components.peers.follows,
             pace.proves_first,
-            functools.partial(components.pass_on, table),
+            functools.partial(components.relay, table),
         )
         components.watches[table] = watch
         async with run_tasks(
@@ -167,12 +167,12 @@
     sharing = TransportContext(
         components.peers,
         components.make_heartbeat,
-        components.note_told,
-        components.take_heartbeat,
-        components.is_urgent,
+        components.record_heartbeat_sent,
+        components.handle_heartbeat,
+        components.is_heartbeat_due,
         clock,
         lambda kind: components.metrics.dropped.labels(kind).inc(),
-        components.take_permit,
+        components.handle_permit_message,
     )
     async with (
         open_table(settings.store.address, GATEWAYS_TABLE, clock) as table,
@@ -188,8 +188,8 @@
 
 def _take_operators(components: GatewayComponents, page: Page) -> None:
     """Take what operators have written: configurations and orders."""
-    components.configuration.take(page)
-    components.rollouts.take_orders(page)
+    components.configuration_follower.handle_page(page)
+    components.rollout_follower.handle_orders(page)
 
 
 async def _follow_states(components: GatewayComponents) -> None:
@@ -199,13 +199,13 @@
     -----------
     Each call to the store is priced, and most of the time there is no order.
     """
-    follower = components.rollouts
+    follower = components.rollout_follower
     while True:
-        await follower.is_wanted.wait()
+        await follower.is_active.wait()
         async with _watch(
-            components, STATUS_TABLE, follower.take_states, _PROOF_MS, _URGENT
+            components, STATUS_TABLE, follower.handle_states, _PROOF_MS, _URGENT
         ):
-            while follower.is_wanted.is_set():
+            while follower.is_active.is_set():
                 await components.clock.sleep(_LOOK_MS)
         components.watches.pop(STATUS_TABLE)
 
@@ -219,13 +219,13 @@
         run_tasks(
             _follow_states(components),
             record_stalls(
-                components.stalls, components.rollouts.is_wanted, clock
+                components.stalls, components.rollout_follower.is_active, clock
             ),
             execute_rollouts(
-                components.rollouts,
+                components.rollout_follower,
                 table,
                 lambda: components.peers.rank,
-                components.is_urgent.set,
+                components.is_heartbeat_due.set,
                 components.promises,
                 clock,
             ),
@@ -249,7 +249,7 @@
         try:
             await trials.read()
         except PlatformError as error:
-            tries += components.belief.configuration is not None
+            tries += components.configuration_state.configuration is not None
             trials.is_known = tries >= _TRIALS_TRIES
             _logger.warning('trials not read', extra={'reason': error.message})
             await components.clock.sleep(_TRIALS_PAUSE_MS)
@@ -329,7 +329,12 @@
                 _PROOF_MS,
                 _URGENT,
             ),
-            (SERVERS_TABLE, components.servers.take, _PROOF_MS, _CALM),
+            (
+                SERVERS_TABLE,
+                components.server_follower.handle_page,
+                _PROOF_MS,
+                _CALM,
+            ),
             (
                 GATEWAYS_TABLE,
                 functools.partial(apply_gateway_rows, components.peers),
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -24,36 +24,36 @@
 
     def __init__(
         self,
-        belief: ConfigurationState,
+        state: ConfigurationState,
         promises: Promises,
         metrics: GatewayMetrics,
         clock: Clock,
     ) -> None:
         """Start without a configuration."""
-        self._belief = belief
+        self._state = state
         self._promises = promises
         self._metrics = metrics
         self._clock = clock
 
-    def take(self, page: Page) -> None:
+    def handle_page(self, page: Page) -> None:
         """Take an answer of the store."""
         for row in page.rows:
             if row.key == CONFIGURATION_KEY and not row.is_gone:
-                self._take_row(row)
+                self._apply_row(row)
 
-    def note_proof(self, proved_ms: int) -> None:
+    def record_proof(self, proved_ms: int) -> None:
         """Note when the configuration in force was surely the newest."""
-        if self._belief.configuration is not None:
-            before_ms = self._belief.proved_ms or proved_ms
-            self._belief.proved_ms = max(before_ms, proved_ms)
+        if self._state.configuration is not None:
+            before_ms = self._state.proved_ms or proved_ms
+            self._state.proved_ms = max(before_ms, proved_ms)
 
-    def _take_row(self, row: Row) -> None:
+    def _apply_row(self, row: Row) -> None:
         try:
             configuration = read_configuration(row.content)
         except PlatformError:
             _logger.exception('configuration refused')
             return
-        current = self._belief.configuration
+        current = self._state.configuration
         version = current.version if current else 0
         if configuration.version <= version:
             return
@@ -62,7 +62,7 @@
             configuration.version > version,
             step='configuration',
         )
-        self._belief.configuration = configuration
+        self._state.configuration = configuration
         self._metrics.version.set(configuration.version)
         _logger.info(
             'configuration in force',
@@ -71,7 +71,7 @@
                 'before': version,
                 'routes': len(configuration.routes),
                 'keys': len(configuration.keys),
-                'proof_age_ms': self._belief.proof_age_ms(self._clock.now()),
+                'proof_age_ms': self._state.proof_age_ms(self._clock.now()),
             },
         )
 
@@ -81,12 +81,12 @@
 
     def __init__(self, backends: Backends, scheduler: Scheduler) -> None:
         """Start without a list."""
-        self.is_known = False
+        self.is_loaded = False
         self._backends = backends
         self._scheduler = scheduler
         self._refused: set[tuple[str, str]] = set()
 
-    def take(self, page: Page) -> None:
+    def handle_page(self, page: Page) -> None:
         """Take an answer of the store."""
         servers: list[Server] = []
         gone: list[str] = []
@@ -101,16 +101,16 @@
                 servers.append(read_server(row.key, row.content))
             except PlatformError as error:
                 unreadable.append(row.key)
-                self._tell(row.key, error)
+                self._log_refused(row.key, error)
         if page.is_whole:
             self._backends.keep_only(servers, unreadable)
         else:
             self._backends.take(servers, gone)
         self._backends.suspend(unreadable)
-        self.is_known = True
+        self.is_loaded = True
         self._scheduler.process_queues()
 
-    def _tell(self, server_id: str, error: PlatformError) -> None:
+    def _log_refused(self, server_id: str, error: PlatformError) -> None:
         """Log a row that is none; once, however often it is written."""
         told = (server_id, error.message)
         if told in self._refused:
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    is_wanted : asyncio.Event
+    is_active : asyncio.Event
         Set while the states of orders have to be followed.
 
     """
@@ -53,11 +53,11 @@
     def __init__(self, rollouts: RolloutManager, clock: Clock) -> None:
         """Start with no order."""
         self.rollouts = rollouts
-        self.is_wanted = asyncio.Event()
+        self.is_active = asyncio.Event()
         self._clock = clock
         self._is_start = True
 
-    def take_orders(self, page: Page) -> None:
+    def handle_orders(self, page: Page) -> None:
         """Take an answer about the operators' table."""
         rows = [row for row in page.rows if is_order(row)]
         latest = {row.key: row for row in rows}
@@ -70,9 +70,9 @@
             orders, gone, self._clock.now(), is_start=self._is_start
         )
         self._is_start = False
-        self._note_wanted()
+        self._update_active()
 
-    def take_states(self, page: Page) -> None:
+    def handle_states(self, page: Page) -> None:
         """Take an answer about the table of states."""
         latest = {row.key: row for row in page.rows}
         statuses = [row for row in latest.values() if is_status(row)]
@@ -88,13 +88,13 @@
             | dict(_read_named(steps, read_step)),
             self._clock.now(),
         )
-        self._note_wanted()
+        self._update_active()
 
-    def _note_wanted(self) -> None:
+    def _update_active(self) -> None:
         if self.rollouts.is_wanted:
-            self.is_wanted.set()
+            self.is_active.set()
         else:
-            self.is_wanted.clear()
+            self.is_active.clear()
 
 
 def _read_all(
@@ -124,7 +124,7 @@
     follower: RolloutFollower,
     writer: ChangeWriter,
     rank: Callable[[], int],
-    tell_all: Callable[[], None],
+    notify_peers: Callable[[], None],
     promises: Promises,
     clock: Clock,
 ) -> None:
@@ -134,18 +134,18 @@
     ----------
     rank : Callable[[], int]
         How many others write before us.
-    tell_all : Callable[[], None]
+    notify_peers : Callable[[], None]
         Lets the others hear of us at once.
 
     """
     rollouts = follower.rollouts
     since_ms: dict[Change, int] = {}
     while True:
-        await follower.is_wanted.wait()
+        await follower.is_active.wait()
         before = _list_stages(rollouts)
         rollouts.evaluate(clock.now())
         if before != _list_stages(rollouts):
-            tell_all()
+            notify_peers()
         now_ms = clock.now()
         changes = rollouts.list_changes(now_ms)
         since_ms = {change: since_ms.get(change, now_ms) for change in changes}
--- a/seampond/gateway/stalls.py
+++ b/seampond/gateway/stalls.py
@@ -16,18 +16,14 @@
 class EventLoopStalls:
     """When the process did not run that should have, in its own time.
 
-    Explanation
-    -----------
-    An answer that waits in our own socket is not a slow one.  On a machine of
-    which each process gets a fifth, a good version was rolled back: in a burst
-    of answers of 140 to 260 ms eight in ten were the new version's.
-
     Examples
     --------
     >>> stalls = EventLoopStalls()
-    >>> stalls.note(1000, 1200)
-    >>> stalls.sum_ms(0, 2000), stalls.sum_ms(1150, 2000), stalls.sum_ms(0, 9)
-    (200, 50, 0)
+    >>> stalls.record(1000, 1200)
+    >>> stalls.total_ms(0, 2000), stalls.total_ms(1150, 2000)
+    (200, 50)
+    >>> stalls.total_ms(0, 9)
+    0
 
     """
 
@@ -35,11 +31,11 @@
         default_factory=lambda: deque(maxlen=_KEPT)
     )
 
-    def note(self, since_ms: int, until_ms: int) -> None:
+    def record(self, since_ms: int, until_ms: int) -> None:
         """Note a span in which it did not run."""
         self.spans.append((since_ms, until_ms))
 
-    def sum_ms(self, since_ms: int, until_ms: int) -> int:
+    def total_ms(self, since_ms: int, until_ms: int) -> int:
         """Give for how long it did not run in a span."""
         parts = (
             min(until, until_ms) - max(since, since_ms)
@@ -49,14 +45,14 @@
 
 
 async def record_stalls(
-    stalls: EventLoopStalls, is_wanted: asyncio.Event, clock: Clock
+    stalls: EventLoopStalls, is_active: asyncio.Event, clock: Clock
 ) -> None:
     """Note stalls for as long as somebody wants to know."""
     while True:
-        await is_wanted.wait()
+        await is_active.wait()
         before_ms = clock.now()
         await clock.sleep(_LOOK_MS)
         due_ms = before_ms + _LOOK_MS
         now_ms = clock.now()
         if now_ms - due_ms >= _LEAST_MS:
-            stalls.note(due_ms, now_ms)
+            stalls.record(due_ms, now_ms)
--- a/seampond/gateway/tests/test_catching_up.py
+++ b/seampond/gateway/tests/test_catching_up.py
@@ -44,7 +44,7 @@
         self.store.is_down = True
         # The change ends the call that waits; the ones after it fail.
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: gateway.components.is_cut)
+        await until_true(lambda: gateway.components.is_store_unreachable)
         for version in range(3, _VERSIONS):
             row = ConfigurationRow(version=version, other_tenants=_TENANTS)
             put_configuration(self.store, row)
@@ -56,7 +56,7 @@
         """The route or the key may have been added; callers try again."""
         gateway = await self.start_ready()
         self.store.is_down = True
-        currency = gateway.components.currencies[CONFIGURATION_TABLE]
+        currency = gateway.components.freshness[CONFIGURATION_TABLE]
         currency.take_proof(FreshnessProof(currency.version + 1, _LATER_MS))
         for path, key in (('/new/', 'k1'), ('/x/y', 'new')):
             response = await self.ask(gateway, path, key)
--- a/seampond/gateway/tests/test_eras.py
+++ b/seampond/gateway/tests/test_eras.py
@@ -50,7 +50,7 @@
 
     def version_of(self, gateway: RunningGateway) -> int:
         """Give the version of the configuration in force."""
-        configuration = gateway.components.belief.configuration
+        configuration = gateway.components.configuration_state.configuration
         return configuration.version if configuration else 0
 
     async def test_what_is_written_then_is_known(self) -> None:
--- a/seampond/gateway/tests/test_followers.py
+++ b/seampond/gateway/tests/test_followers.py
@@ -37,29 +37,31 @@
             self.backends, ZONE, Clock(), lambda: 1, build_promises()
         )
         self.follower = ServerFollower(self.backends, scheduler)
-        self.follower.take(_page(_row('i-1', 1), is_whole=True))
+        self.follower.handle_page(_page(_row('i-1', 1), is_whole=True))
 
     def test_row_that_went_and_came_back_is_there(self) -> None:
         """Changes of one row in one answer count in their order."""
         went = _row('i-1', 2, is_gone=True)
-        self.follower.take(_page(went, _row('i-1', 3)))
+        self.follower.handle_page(_page(went, _row('i-1', 3)))
         self.assertEqual(self._listed(), ['i-1'])
 
     def test_row_that_came_and_went_is_gone(self) -> None:
         """The last word counts."""
         went = _row('i-2', 3, is_gone=True)
-        self.follower.take(_page(_row('i-2', 2), went))
+        self.follower.handle_page(_page(_row('i-2', 2), went))
         self.assertEqual(self._listed(), ['i-1'])
 
     def test_whole_read_replaces_the_list(self) -> None:
         """What a whole read does not hold is gone."""
-        self.follower.take(_page(_row('i-2', 2), is_whole=True))
+        self.follower.handle_page(_page(_row('i-2', 2), is_whole=True))
         self.assertEqual(self._listed(), ['i-2'])
 
     def test_bad_row_harms_no_other(self) -> None:
         """A row that cannot be read is passed over and told."""
         with self.assertLogs('seampond.gateway.followers', 'ERROR'):
-            self.follower.take(_page(Row('i-3', b'{', 2), _row('i-2', 3)))
+            self.follower.handle_page(
+                _page(Row('i-3', b'{', 2), _row('i-2', 3))
+            )
         self.assertEqual(self._listed(), ['i-1', 'i-2'])
 
     def _listed(self) -> list[str]:
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -327,7 +327,7 @@
                 },
             )
             self.assertTrue(components.peers.take_heartbeat(heartbeat))
-            components.take_heartbeat(heartbeat)
+            components.handle_heartbeat(heartbeat)
             is_younger = _age_ms(admission) < before_ms - 100
             self.assertEqual(is_younger, not newer)
 
--- a/seampond/gateway/tests/test_passing_on.py
+++ b/seampond/gateway/tests/test_passing_on.py
@@ -36,7 +36,7 @@
         components = gateway.components
         watch = components.watches[SERVERS_TABLE]
         await until_true(lambda: not watch.is_new)
-        since = components.currencies[SERVERS_TABLE].version
+        since = components.freshness[SERVERS_TABLE].version
         content = {
             'service': POOL,
             'address': self.server.address,
@@ -48,7 +48,7 @@
         page = RelayedPage(
             hash_name(SERVERS_TABLE), since, since + 1, 1, (row,)
         )
-        components.take_heartbeat(Heartbeat('peer-1', 1, 2, pages=(page,)))
+        components.handle_heartbeat(Heartbeat('peer-1', 1, 2, pages=(page,)))
         known = components.backends.get('i-9')
         assert known is not None
         self.assertTrue(known.takes_work)
@@ -57,13 +57,13 @@
         """Rows go with the next heartbeat to all, at once, and no later one."""
         gateway = await self.start_ready()
         components = gateway.components
-        components.note_told()
-        components.is_urgent.clear()
+        components.record_heartbeat_sent()
+        components.is_heartbeat_due.clear()
         for size, told in ((100, 1), (_LARGE_BYTES, 0)):
             row = Row('i-9', b'x' * size, 8)
             page = Page((row,), 9, 1, 0, 0, is_whole=False)
-            components.pass_on(SERVERS_TABLE, 7, page)
-            self.assertTrue(components.is_urgent.is_set())
+            components.relay(SERVERS_TABLE, 7, page)
+            self.assertTrue(components.is_heartbeat_due.is_set())
             self.assertEqual(len(components.make_heartbeat(1).pages), told)
-            components.note_told()
+            components.record_heartbeat_sent()
             self.assertEqual(components.make_heartbeat(2).pages, ())
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -162,7 +162,7 @@
     def test_spoiled_row_in_a_whole_read(self) -> None:
         """Its server is not taken for one that has left."""
         row = Row('i-1', b'{', 3)
-        self.follower.take(Page((row,), 9, 0, 0, 0, is_whole=True))
+        self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_whole=True))
         self.assertTrue(pick(self.backends, 'i-1').is_listed)
 
     def test_bad_row_is_told_once(self) -> None:
@@ -180,13 +180,13 @@
         bad = [Row(f'b-{key}', content, 2) for key, content in enumerate(told)]
         good = Row('i-2', _encode(_GOOD | {'address': '10.0.0.2:80'}), 3)
         page = Page((*bad, good), 9, 0, 0, 0, is_whole=False)
-        self.follower.take(page)
+        self.follower.handle_page(page)
         self.assertTrue(pick(self.backends, 'i-2').takes_work)
         self.assertTrue(pick(self.backends, 'i-1').takes_work)
 
     def _take(self, content: bytes) -> None:
         row = Row('i-1', content, 2)
-        self.follower.take(Page((row,), 9, 0, 0, 0, is_whole=False))
+        self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_whole=False))
 
 
 class OtherRowTest(unittest.TestCase):
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -108,13 +108,13 @@
 
     def test_process_that_did_not_run_saw_it_late(self) -> None:
         """In one burst eight of ten answers were the new version's."""
-        self.versions.stalls.note(740, 980)
+        self.versions.stalls.record(740, 980)
         route = build_route(target_ms=1000)
         self.assertEqual(self.count_bad(route, *_LATE_SEEN_MS), 0)
 
     def test_slow_beyond_what_was_seen_late(self) -> None:
         """What is left is several times as long as usual."""
-        self.versions.stalls.note(900, 980)
+        self.versions.stalls.record(900, 980)
         route = build_route(target_ms=1000)
         self.assertEqual(self.count_bad(route, 260, 200, 180), 3)
 
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -49,7 +49,7 @@
         if tried.outcome == Outcome.unreached.value:
             return
         now_ms = self.clock.now()
-        stalled_ms = self.stalls.sum_ms(now_ms - tried.took_ms, now_ms)
+        stalled_ms = self.stalls.total_ms(now_ms - tried.took_ms, now_ms)
         is_bad = tried.outcome in _BAD
         # A cold server has said that it would be slow.
         is_cold = now_ms < backend.cold_until_ms
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -46,7 +46,7 @@
 
 
 def connection_limit(
-    belief: ConfigurationState, peers: Peers, pool: str
+    configuration_state: ConfigurationState, peers: Peers, pool: str
 ) -> int:
     """Give how many connections one gateway may have to each server.
 
@@ -56,7 +56,7 @@
     has a connection of its own and takes a rested one first, so a bound on
     the requests there bounds the connections too.
     """
-    configuration = belief.configuration
+    configuration = configuration_state.configuration
     known = configuration.pools.get(pool) if configuration else None
     if known is None or not known.connections_max:
         return sys.maxsize
@@ -65,7 +65,7 @@
 
 def make_rollouts(
     bounds: BoundSettings,
-    belief: ConfigurationState,
+    configuration_state: ConfigurationState,
     backends: Backends,
     peers: Peers,
     store_time: StoreClock,
@@ -73,7 +73,7 @@
     """Wire the roll-outs."""
 
     def has_pool(pool: str) -> bool:
-        configuration = belief.configuration
+        configuration = configuration_state.configuration
         return configuration is None or pool in configuration.pools
 
     def list_reports() -> list[dict[int, Report]] | None:
@@ -99,15 +99,17 @@
 
 def _show_ages(
     metrics: GatewayMetrics,
-    belief: ConfigurationState,
-    currencies: Mapping[str, TableFreshness],
+    configuration_state: ConfigurationState,
+    freshness: Mapping[str, TableFreshness],
     clock: Clock,
 ) -> None:
     """Let the metrics tell how old and how complete beliefs are when asked."""
     metrics.proof_age.set_function(
-        lambda: (belief.proof_age_ms(clock.now()) or 0) / MS_PER_SECOND
+        lambda: (
+            (configuration_state.proof_age_ms(clock.now()) or 0) / MS_PER_SECOND
+        )
     )
-    for table, currency in currencies.items():
+    for table, currency in freshness.items():
         metrics.missing.labels(table).set_function(
             functools.partial(_missing_seconds, currency)
         )
@@ -123,34 +125,36 @@
     """Wire the state of a gateway together."""
     metrics = GatewayMetrics()
     promises = Promises(lambda rule: metrics.violations.labels(rule).inc())
-    belief = ConfigurationState()
+    configuration_state = ConfigurationState()
     bounds = settings.bounds
     peers = Peers(settings.name, clock)
-    is_urgent = asyncio.Event()
+    is_heartbeat_due = asyncio.Event()
     quotas = Quotas(
         peers,
         make_quota_margin(bounds),
         clock,
-        is_urgent.set,
+        is_heartbeat_due.set,
         random.Random(),
     )
     backends = Backends(
         clock,
         HEADERS.request_id,
         compute_grace_ms(bounds),
-        lambda pool: connection_limit(belief, peers, pool),
+        lambda pool: connection_limit(configuration_state, peers, pool),
         hash_name,
         lambda word: metrics.words.labels(word).inc(),
     )
     store_time = StoreClock()
-    rollouts = make_rollouts(bounds, belief, backends, peers, store_time)
+    rollouts = make_rollouts(
+        bounds, configuration_state, backends, peers, store_time
+    )
     stalls = EventLoopStalls()
     versions = RolloutVersions(rollouts, clock, stalls)
     permit_manager = PermitManager(
         peers,
         clock,
         backends.take_limit,
-        is_urgent.set,
+        is_heartbeat_due.set,
         random.Random(),
         lambda outcome: metrics.permits.labels(outcome).inc(),
     )
@@ -165,7 +169,7 @@
     )
     scheduler.availability.permits = permit_manager
     permit_manager.note_reply = scheduler.process_queues
-    budget = RetryBudget(
+    retry_budget = RetryBudget(
         bounds.retry_ratio,
         bounds.retry_allowance,
         round(bounds.retry_window_s * MS_PER_SECOND),
@@ -176,15 +180,17 @@
         Suspects(clock),
         Trials(store_time, clock),
         hash_name,
-        is_urgent.set,
+        is_heartbeat_due.set,
         lambda leave: metrics.trials.labels(leave).inc(),
         clock,
     )
     metrics.suspects.set_function(lambda: len(quarantine.suspects))
-    configuration = ConfigurationFollower(belief, promises, metrics, clock)
-    currencies = {
+    configuration_follower = ConfigurationFollower(
+        configuration_state, promises, metrics, clock
+    )
+    freshness = {
         CONFIGURATION_TABLE: TableFreshness(
-            clock, store_time, configuration.note_proof
+            clock, store_time, configuration_follower.record_proof
         ),
         SERVERS_TABLE: TableFreshness(
             clock, store_time, lambda proved_ms: None
@@ -194,10 +200,12 @@
         ),
         STATUS_TABLE: TableFreshness(clock, store_time, lambda proved_ms: None),
     }
-    _show_ages(metrics, belief, currencies, clock)
-    belief.is_behind = lambda: currencies[CONFIGURATION_TABLE].is_missing
+    _show_ages(metrics, configuration_state, freshness, clock)
+    configuration_state.is_behind = lambda: (
+        freshness[CONFIGURATION_TABLE].is_missing
+    )
     admission = Admission(
-        belief,
+        configuration_state,
         HEADERS,
         clock,
         bounds.proof_ms,
@@ -209,7 +217,7 @@
         ForwarderContext(
             backends,
             scheduler,
-            budget,
+            retry_budget,
             HEADERS,
             metrics,
             clock,
@@ -232,19 +240,19 @@
         clock=clock,
         metrics=metrics,
         promises=promises,
-        belief=belief,
+        configuration_state=configuration_state,
         backends=backends,
         scheduler=scheduler,
         web=web,
-        configuration=configuration,
-        currencies=currencies,
+        configuration_follower=configuration_follower,
+        freshness=freshness,
         peers=peers,
         quotas=quotas,
-        budget=budget,
-        is_urgent=is_urgent,
+        retry_budget=retry_budget,
+        is_heartbeat_due=is_heartbeat_due,
         incarnation=secrets.randbits(_INCARNATION_BITS),
-        servers=ServerFollower(backends, scheduler),
-        rollouts=RolloutFollower(rollouts, clock),
+        server_follower=ServerFollower(backends, scheduler),
+        rollout_follower=RolloutFollower(rollouts, clock),
         quarantine=quarantine,
         permit_manager=permit_manager,
         stalls=stalls,
