--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -9,7 +9,7 @@
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server import Server
 from seampond.metrics.gateway import GatewayMetrics
-from seampond.platform import read_configuration, read_server
+from seampond.platform import parse_configuration, parse_server
 from seampond.platform.names import CONFIGURATION_KEY
 from seampond.promises import Promises, Rule
 from seampond.watches import Page, Row
@@ -49,7 +49,7 @@
 
     def _apply_row(self, row: Row) -> None:
         try:
-            configuration = read_configuration(row.content)
+            configuration = parse_configuration(row.content)
         except PlatformError:
             _logger.exception('configuration refused')
             return
@@ -98,7 +98,7 @@
                 gone.append(row.key)
                 continue
             try:
-                servers.append(read_server(row.key, row.content))
+                servers.append(parse_server(row.key, row.content))
             except PlatformError as error:
                 unreadable.append(row.key)
                 self._log_refused(row.key, error)
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -8,14 +8,14 @@
 from seampond.clock import Clock
 from seampond.errors import ConflictError, PlatformError
 from seampond.platform.rollouts import (
-    is_order,
-    is_status,
-    is_step,
-    name_pool,
-    read_order,
-    read_status,
-    read_step,
-    write_change,
+    encode_change,
+    is_order_row,
+    is_status_row,
+    is_step_row,
+    parse_order,
+    parse_status,
+    parse_step,
+    pool_name,
 )
 from seampond.platform.store import RowChange
 from seampond.promises import Promises, Rule
@@ -59,12 +59,12 @@
 
     def handle_orders(self, page: Page) -> None:
         """Take an answer about the operators' table."""
-        rows = [row for row in page.rows if is_order(row)]
+        rows = [row for row in page.rows if is_order_row(row)]
         latest = {row.key: row for row in rows}
-        orders = list(_read_all(latest.values(), read_order))
-        gone = [name_pool(row) for row in latest.values() if row.is_gone]
+        orders = list(_read_all(latest.values(), parse_order))
+        gone = [pool_name(row) for row in latest.values() if row.is_gone]
         if page.is_whole:
-            listed = set(map(name_pool, latest.values()))
+            listed = set(map(pool_name, latest.values()))
             gone.extend(set(self.rollouts.ordered) - listed)
         self.rollouts.take_orders(
             orders, gone, self._clock.now(), is_start=self._is_start
@@ -75,17 +75,17 @@
     def handle_states(self, page: Page) -> None:
         """Take an answer about the table of states."""
         latest = {row.key: row for row in page.rows}
-        statuses = [row for row in latest.values() if is_status(row)]
-        steps = [row for row in latest.values() if is_step(row)]
+        statuses = [row for row in latest.values() if is_status_row(row)]
+        steps = [row for row in latest.values() if is_step_row(row)]
         # A row that is not there any more is one that nothing rests on.
         lacking = self.rollouts.told if page.is_whole else ()
         self.rollouts.take_states(
             dict.fromkeys(lacking)
-            | {name_pool(row): None for row in statuses}
-            | dict(_read_named(statuses, read_status)),
+            | {pool_name(row): None for row in statuses}
+            | dict(_read_named(statuses, parse_status)),
             dict.fromkeys(lacking)
-            | {name_pool(row): None for row in steps}
-            | dict(_read_named(steps, read_step)),
+            | {pool_name(row): None for row in steps}
+            | dict(_read_named(steps, parse_step)),
             self._clock.now(),
         )
         self._update_active()
@@ -112,7 +112,7 @@
         if row.is_gone:
             continue
         try:
-            yield name_pool(row), read(row)
+            yield pool_name(row), read(row)
         except PlatformError as error:
             _logger.error(
                 'row of a roll-out refused',
@@ -184,7 +184,7 @@
         'reason': change.reason,
     }
     try:
-        await writer.change(write_change(change))
+        await writer.change(encode_change(change))
     except ConflictError:
         _logger.info('another gateway wrote of the roll-out', extra=extra)
     except PlatformError as error:
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -21,9 +21,9 @@
 from seampond.forwarding.scheduler import Scheduler
 from seampond.gateway.followers import ServerFollower
 from seampond.gateway.tests.test_gateway import GatewayCase
-from seampond.platform import read_configuration, read_server
+from seampond.platform import parse_configuration, parse_server
 from seampond.platform.names import GATEWAYS_TABLE, SERVERS_TABLE
-from seampond.platform.rollouts import read_order, read_status, read_step
+from seampond.platform.rollouts import parse_order, parse_status, parse_step
 from seampond.platform.tests.rows import put_server
 from seampond.sharing import Peers
 from seampond.sharing.transport import apply_gateway_rows
@@ -146,7 +146,7 @@
         for content in _list_bad():
             with self.subTest(content=content[:60]):
                 with self.assertRaises(PlatformError):
-                    read_server('i-9', content)
+                    parse_server('i-9', content)
 
     def test_good_server_whose_row_turns_bad(self) -> None:
         """It gets nothing new, has not left, and is back with its next row."""
@@ -198,10 +198,10 @@
     def test_any_row_is_read_or_refused(self, content: bytes) -> None:
         """Configurations, orders and states: a clear error, no other."""
         row = Row('rollout/s1', content, 2)
-        for read in (read_order, read_status, read_step):
+        for read in (parse_order, parse_status, parse_step):
             with self.subTest(read=read.__name__):
                 self._read(read, row)
-        self._read(read_configuration, content)
+        self._read(parse_configuration, content)
 
     @seed(13)
     @settings(max_examples=300, deadline=None)
--- a/seampond/gateway/tests/test_words.py
+++ b/seampond/gateway/tests/test_words.py
@@ -142,7 +142,7 @@
 
 async def _say_in_row(fleet: SayingFleet, after_ms: int) -> None:
     await fleet.clock.sleep(after_ms)
-    fleet.saying[0].put_row(state=names.DRAINING)
+    fleet.saying[0].put_row(state=names.DRAINING_STATE)
 
 
 def _rested_ms(fleet: SayingFleet, gateway: str, server_id: str) -> int:
--- a/seampond/platform/__init__.py
+++ b/seampond/platform/__init__.py
@@ -1,10 +1,10 @@
 """The users' platform: its names, formats and calls, and no decisions."""
 
 from seampond.platform.configuration import (
-    read_configuration as read_configuration,
+    parse_configuration as parse_configuration,
 )
 from seampond.platform.names import HEADERS as HEADERS
 from seampond.platform.names import READY_PATH as READY_PATH
-from seampond.platform.servers import read_server as read_server
+from seampond.platform.servers import parse_server as parse_server
 from seampond.platform.store import Store as Store
 from seampond.platform.store import open_table as open_table
--- a/seampond/platform/configuration.py
+++ b/seampond/platform/configuration.py
@@ -8,7 +8,7 @@
 
 from seampond.forwarding import models
 from seampond.platform import names
-from seampond.platform.rows import Count, decode_row
+from seampond.platform.rows import NonNegativeInt, decode_row
 
 _KINDS = MappingProxyType(
     {
@@ -22,16 +22,18 @@
 _LOWEST_PRIORITY = 9
 
 
-class _Part(msgspec.Struct, frozen=True, kw_only=True, rename='kebab'):
+class _ConfigurationPart(
+    msgspec.Struct, frozen=True, kw_only=True, rename='kebab'
+):
     """A part of the configuration; unknown fields are passed over."""
 
 
-class _Split(_Part, frozen=True):
+class _TrafficSplit(_ConfigurationPart, frozen=True):
     service: str
     weight: float = 1
 
 
-class _Route(_Part, frozen=True):
+class _Route(_ConfigurationPart, frozen=True):
     name: str
     host: str
     path_prefix: str
@@ -40,27 +42,27 @@
     target_latency_ms: int = _TARGET_MS
     priority: int = _LOWEST_PRIORITY
     service: str = ''
-    traffic_split: tuple[_Split, ...] = ()
+    traffic_split: tuple[_TrafficSplit, ...] = ()
     max_attempts: int = 1
     public: bool = False
     stream_resume: bool = False
     target_gap_ms: int = 0
 
 
-class _Service(_Part, frozen=True):
+class _Service(_ConfigurationPart, frozen=True):
     name: str
     max_conns: int = 0
     engine: dict[str, Any] | None = None
 
 
-class _Limits(_Part, frozen=True):
+class _Limits(_ConfigurationPart, frozen=True):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
     header_timeout_ms: int = 10_000
     idle_timeout_ms: int = 15_000
 
 
-class _Tenant(_Part, frozen=True):
+class _Tenant(_ConfigurationPart, frozen=True):
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
@@ -70,8 +72,8 @@
     burst: float = 0
 
 
-class _Whole(_Part, frozen=True):
-    version: Count
+class _Configuration(_ConfigurationPart, frozen=True):
+    version: NonNegativeInt
     routes: tuple[_Route, ...] = ()
     services: tuple[_Service, ...] = ()
     limits: _Limits = msgspec.field(default_factory=_Limits)
@@ -108,7 +110,7 @@
         rate=tenant.rate_per_s,
         burst=tenant.burst,
         plain_units=tenant.plain_tokens,
-        counts_tokens=tenant.unit == names.COUNTS_TOKENS,
+        counts_tokens=tenant.unit == names.TOKENS_UNIT,
     )
 
 
@@ -121,7 +123,7 @@
             yield models.digest_key(key), read
 
 
-def read_configuration(content: bytes) -> models.Configuration:
+def parse_configuration(content: bytes) -> models.Configuration:
     """Read the row that holds the configuration.
 
     Parameters
@@ -135,7 +137,9 @@
         If it is none; names the first bad field.
 
     """
-    whole = decode_row(content, _Whole, step='configuration', is_strict=False)
+    whole = decode_row(
+        content, _Configuration, step='configuration', is_strict=False
+    )
     routes = [_read_route(route) for route in whole.routes]
     pools = [
         models.Pool(
--- a/seampond/platform/names.py
+++ b/seampond/platform/names.py
@@ -36,7 +36,7 @@
 )
 
 # Rises each time the store is restored from an older copy of itself.
-ERA = b'store-era'
+ERA_HEADER = b'store-era'
 
 READY_PATH = '/ready'
 
@@ -44,12 +44,12 @@
 READ_PATH = '/rows-get'
 FEED_PATH = '/rows-feed'
 
-SINCE = 'since-rev'
-WAIT = 'wait-ms'
-START = 'from'
-KEY = 'tls-key'
-EXPECTED = 'expected-rev'
-REMOVED = 'remove'
+SINCE_PARAMETER = 'since-rev'
+WAIT_PARAMETER = 'wait-ms'
+START_PARAMETER = 'from'
+KEY_FIELD = 'tls-key'
+EXPECTED_FIELD = 'expected-rev'
+REMOVED_FIELD = 'remove'
 
 CONFIGURATION_TABLE = 'op'
 CONFIGURATION_KEY = 'config'
@@ -62,6 +62,6 @@
 ROLLOUT_PREFIX = 'rollout/'
 STEP_PREFIX = 'rollout-step/'
 
-READY = 'ready'
-DRAINING = 'draining'
-COUNTS_TOKENS = 'tokens'
+READY_STATE = 'ready'
+DRAINING_STATE = 'draining'
+TOKENS_UNIT = 'tokens'
--- a/seampond/platform/quarantine.py
+++ b/seampond/platform/quarantine.py
@@ -7,7 +7,7 @@
 
 from seampond.errors import PlatformError
 from seampond.platform import names
-from seampond.platform.rows import Count, decode_row
+from seampond.platform.rows import NonNegativeInt, decode_row
 from seampond.platform.store import RowChange, StoreTable
 from seampond.quarantine.fingerprints import format_fingerprint
 from seampond.quarantine.models import TrialRow
@@ -20,8 +20,8 @@
 class _Trial(msgspec.Struct, frozen=True):
     """The content of a row, which is our own."""
 
-    trials: Count
-    at_ms: Count
+    trials: NonNegativeInt
+    at_ms: NonNegativeInt
 
 
 class QuarantineTable:
--- a/seampond/platform/rollouts.py
+++ b/seampond/platform/rollouts.py
@@ -10,7 +10,7 @@
 from seampond.clock import MS_PER_SECOND
 from seampond.errors import PlatformError
 from seampond.platform import names
-from seampond.platform.rows import Count, Part, decode_row
+from seampond.platform.rows import NonNegativeFloat, NonNegativeInt, decode_row
 from seampond.platform.store import RowChange
 from seampond.rollouts import Change, Order, State, Status, Step
 from seampond.watches import Row, number_of
@@ -31,7 +31,7 @@
 class _Order(msgspec.Struct, frozen=True, rename='kebab'):
     service: str
     target_version: str
-    duration_s: Part
+    duration_s: NonNegativeFloat
 
 
 class _Status(msgspec.Struct, frozen=True, rename='kebab'):
@@ -42,22 +42,22 @@
 class _Step(msgspec.Struct, frozen=True, rename='kebab'):
     """Our own row beside the status, which the platform does not read."""
 
-    order: Count
+    order: NonNegativeInt
     is_closing: bool
-    since_ms: Count
+    since_ms: NonNegativeInt
 
 
-def is_order(row: Row) -> bool:
+def is_order_row(row: Row) -> bool:
     """Tell whether a row of the operators' table is about a roll-out."""
     return row.key.startswith(names.ROLLOUT_PREFIX)
 
 
-def name_pool(row: Row) -> str:
+def pool_name(row: Row) -> str:
     """Give the pool that a row is about."""
     return row.key.partition('/')[2]
 
 
-def read_order(row: Row) -> Order:
+def parse_order(row: Row) -> Order:
     """Read an operator's order.
 
     Explanation
@@ -73,12 +73,12 @@
     Examples
     --------
     >>> text = b'{"service": "s", "target-version": "v2", "duration-s": 12}'
-    >>> read_order(Row('rollout/s', text, 7)).duration_ms
+    >>> parse_order(Row('rollout/s', text, 7)).duration_ms
     12000
 
     """
     order = _decode(row, _Order)
-    pool = name_pool(row)
+    pool = pool_name(row)
     if order.service != pool:
         raise _refuse(row, f'`service` is {order.service!r}, not {pool!r}')
     if not order.target_version:
@@ -91,7 +91,7 @@
     )
 
 
-def read_status(row: Row) -> Status:
+def parse_status(row: Row) -> Status:
     """Read what the store says of an order.
 
     Raises
@@ -107,17 +107,17 @@
     return Status(state, status.target_version, number_of(row.version))
 
 
-def is_status(row: Row) -> bool:
+def is_status_row(row: Row) -> bool:
     """Tell whether a row of the table of states is about a roll-out."""
     return row.key.startswith(names.ROLLOUT_PREFIX)
 
 
-def is_step(row: Row) -> bool:
+def is_step_row(row: Row) -> bool:
     """Tell whether a row is what the gateways agree on beside a state."""
     return row.key.startswith(names.STEP_PREFIX)
 
 
-def read_step(row: Row) -> Step:
+def parse_step(row: Row) -> Step:
     """Read what the gateways have agreed on.
 
     Raises
@@ -132,7 +132,7 @@
     )
 
 
-def write_change(change: Change) -> RowChange:
+def encode_change(change: Change) -> RowChange:
     """Give the rows that a change rests on and those that it writes."""
     key = f'{names.ROLLOUT_PREFIX}{change.pool}'
     step_key = f'{names.STEP_PREFIX}{change.pool}'
--- a/seampond/platform/rows.py
+++ b/seampond/platform/rows.py
@@ -24,9 +24,9 @@
     ValueError,
 )
 
-Count = Annotated[int, msgspec.Meta(ge=0, le=_WHOLE_MAX)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=_WHOLE_MAX)]
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=_TEXT_MAX)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=_WHOLE_MAX)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0, le=_WHOLE_MAX)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1, max_length=_TEXT_MAX)]
 _Model = TypeVar('_Model')
 
 
@@ -65,7 +65,7 @@
         raise PlatformError(f'{name}: {error}', step=step, peer=peer) from error
 
 
-def check_address(address: str) -> str:
+def validate_address(address: str) -> str:
     """Give an address of four numbers and a port as it is.
 
     Raises
@@ -75,9 +75,9 @@
 
     Examples
     --------
-    >>> check_address('10.0.0.9:80')
+    >>> validate_address('10.0.0.9:80')
     '10.0.0.9:80'
-    >>> check_address('10.0.0.9:65536')
+    >>> validate_address('10.0.0.9:65536')
     Traceback (most recent call last):
         ...
     ValueError: no address: '10.0.0.9:65536'
--- a/seampond/platform/servers.py
+++ b/seampond/platform/servers.py
@@ -5,39 +5,39 @@
 from seampond.forwarding.server import Server
 from seampond.platform import names
 from seampond.platform.rows import (
-    Count,
-    Part,
-    Text,
-    check_address,
+    NonEmptyText,
+    NonNegativeFloat,
+    NonNegativeInt,
     decode_row,
+    validate_address,
 )
 
-_STATES = frozenset((names.READY, names.DRAINING))
+_STATES = frozenset((names.READY_STATE, names.DRAINING_STATE))
 _STEP = 'servers'
 
 
 class _Server(msgspec.Struct, frozen=True, kw_only=True, rename='kebab'):
     """A row of the list; unknown fields are passed over."""
 
-    service: Text
-    address: Text
-    zone: Text
-    slots: Count
-    state: Text
+    service: NonEmptyText
+    address: NonEmptyText
+    zone: NonEmptyText
+    slots: NonNegativeInt
+    state: NonEmptyText
     version: str = ''
-    cold_left_ms: Part = 0
-    born: Count = 0
+    cold_left_ms: NonNegativeFloat = 0
+    born: NonNegativeInt = 0
 
     def __post_init__(self) -> None:
         """Check what a type cannot say."""
-        check_address(self.address)
+        validate_address(self.address)
         if self.state not in _STATES:
             raise ValueError(f'`state` is {self.state!r}')
         if not self.slots:
             raise ValueError('`slots` is 0')
 
 
-def read_server(server_id: str, content: bytes) -> Server:
+def parse_server(server_id: str, content: bytes) -> Server:
     """Read the row of one server.
 
     Raises
@@ -51,7 +51,7 @@
     ...     b'{"service": "llm", "address": "10.0.0.9:80", "zone": "z",'
     ...     b' "slots": 4, "state": "ready"}'
     ... )
-    >>> read_server('i-1', row).is_draining
+    >>> parse_server('i-1', row).is_draining
     False
 
     """
@@ -62,7 +62,7 @@
         address=row.address,
         zone=row.zone,
         slots=row.slots,
-        is_draining=row.state == names.DRAINING,
+        is_draining=row.state == names.DRAINING_STATE,
         version=row.version,
         cold_ms=round(row.cold_left_ms),
         started_ms=row.born,
--- a/seampond/platform/store.py
+++ b/seampond/platform/store.py
@@ -114,7 +114,7 @@
         rows = list(first.rows)
         while has_more:
             last = rows[-1].key
-            query[names.START] = f'{last}\0'
+            query[names.START_PARAMETER] = f'{last}\0'
             page, has_more = await self._page(
                 names.READ_PATH, query, most_ms=_WHOLE_MS
             )
@@ -136,8 +136,8 @@
         """
         query = {
             'table': table,
-            names.SINCE: str(number_of(since)),
-            names.WAIT: str(wait_ms),
+            names.SINCE_PARAMETER: str(number_of(since)),
+            names.WAIT_PARAMETER: str(wait_ms),
         }
         self._check_era(since)
         page, _ = await self._page(names.FEED_PATH, query, wait_ms)
@@ -189,7 +189,7 @@
                 'read before a restore', step='change', peer=self._address
             )
         parts = {
-            names.EXPECTED: [
+            names.EXPECTED_FIELD: [
                 _name_row(row) | {'ver': number_of(version)}
                 for row, version in change.expected.items()
             ],
@@ -197,7 +197,7 @@
                 _name_row(row) | {'value': base64.b64encode(content).decode()}
                 for row, content in change.puts.items()
             ],
-            names.REMOVED: [_name_row(row) for row in change.removed],
+            names.REMOVED_FIELD: [_name_row(row) for row in change.removed],
         }
         told = {name: rows for name, rows in parts.items() if rows}
         body = json.dumps(told).encode()
@@ -312,7 +312,7 @@
             If the answer is of an earlier era than one before it.
 
         """
-        told = head.get(names.ERA)
+        told = head.get(names.ERA_HEADER)
         # Counted from 1: without the header nothing is known of an era.
         era = int(told) + 1 if told.isdigit() else self._era
         if era < self._era:
@@ -389,12 +389,12 @@
 
 def _name_row(row: RowName) -> dict[str, object]:
     table, key = row
-    return {'table': table, 'part': '', names.KEY: key}
+    return {'table': table, 'part': '', names.KEY_FIELD: key}
 
 
 def _read_row(row: Mapping[str, Any], era: int) -> Row:
     return Row(
-        row[names.KEY],
+        row[names.KEY_FIELD],
         base64.b64decode(row.get('value') or ''),
         make_version(era, int(row.get('ver', 0))),
         is_gone=bool(row.get('gone')),
--- a/seampond/platform/tests/rows.py
+++ b/seampond/platform/tests/rows.py
@@ -107,7 +107,7 @@
         'address': address,
         'zone': 'a',
         'slots': 4,
-        'state': names.READY,
+        'state': names.READY_STATE,
     }
     store.put(names.SERVERS_TABLE, server_id, row | changes)
 
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -11,7 +11,12 @@
 from seampond.clock import Clock
 from seampond.errors import ConflictError, CutAnswerError, PlatformError
 from seampond.forwarding.models import Kind
-from seampond.platform import names, open_table, read_configuration, read_server
+from seampond.platform import (
+    names,
+    open_table,
+    parse_configuration,
+    parse_server,
+)
 from seampond.testing.scripted import Received, run_scripted, write_answer
 from seampond.testing.store import run_store
 from seampond.watches import HistoryGoneError
@@ -68,7 +73,7 @@
 
     def test_configuration(self) -> None:
         """Routes, tenants, pools and limits, unknown fields passed over."""
-        whole = read_configuration(json.dumps(dict(_CONFIGURATION)).encode())
+        whole = parse_configuration(json.dumps(dict(_CONFIGURATION)).encode())
         self.assertEqual(whole.version, 7)
         first = whole.find_route('a.example', '/x/z')
         assert first is not None
@@ -84,7 +89,7 @@
 
     def test_longest_prefix_wins(self) -> None:
         """The longest prefix that begins the path, on this host alone."""
-        whole = read_configuration(json.dumps(dict(_CONFIGURATION)).encode())
+        whole = parse_configuration(json.dumps(dict(_CONFIGURATION)).encode())
         cases = {
             '/x/y/z': 'r2',
             '/x/y/': 'r2',
@@ -103,10 +108,10 @@
     def test_bad_rows_are_refused_with_the_field(self) -> None:
         """A row that is none names what is wrong."""
         with self.assertRaisesRegex(PlatformError, 'version'):
-            read_configuration(b'{"routes": []}')
+            parse_configuration(b'{"routes": []}')
         for row in (b'', b'[]', b'{"service": "s"}'):
             with self.assertRaises(PlatformError):
-                read_server('i-1', row)
+                parse_server('i-1', row)
 
     def test_draining_server(self) -> None:
         """A server that says so takes no more work."""
@@ -117,7 +122,7 @@
             'state': 'draining',
             'slots': 3,
         }
-        server = read_server('i-1', json.dumps(row).encode())
+        server = parse_server('i-1', json.dumps(row).encode())
         self.assertTrue(server.is_draining)
         self.assertEqual(server.slots, 3)
 
@@ -234,7 +239,7 @@
         async def serve_page(
             request: Received, writer: asyncio.StreamWriter
         ) -> None:
-            row = {names.KEY: f'k{len(pages)}', 'ver': 1, 'value': ''}
+            row = {names.KEY_FIELD: f'k{len(pages)}', 'ver': 1, 'value': ''}
             page = pages.pop(0) | {'rows': [row]}
             writer.write(write_answer(200, {}, json.dumps(page).encode()))
 
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -17,7 +17,7 @@
     encode_permit,
     is_permit,
 )
-from seampond.platform.gateways import read_gateway, write_gateway
+from seampond.platform.gateways import encode_gateway, parse_gateway
 from seampond.sharing.heartbeats import Heartbeat, decode, encode
 from seampond.sharing.peers import Peers
 from seampond.tasks import run_tasks
@@ -196,14 +196,14 @@
 
 
 def _read_address(row: Row) -> str:
-    return read_gateway(row.key, row.content)
+    return parse_gateway(row.key, row.content)
 
 
 async def register(
     writer: RowWriter, peers: Peers, address: str, clock: Clock
 ) -> None:
     """Write our own row, and again whenever the store has lost it."""
-    content = write_gateway(address)
+    content = encode_gateway(address)
     while True:
         peers.is_unlisted.clear()
         try:
--- a/seampond/testing/saying.py
+++ b/seampond/testing/saying.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from seampond.clock import MS_PER_SECOND, Clock
-from seampond.platform.names import DRAINING, HEADERS
+from seampond.platform.names import DRAINING_STATE, HEADERS
 from seampond.platform.tests.rows import ID_HEADER, STAMP_HEADER
 from seampond.testing.crashing import (
     EVENT,
@@ -107,7 +107,7 @@
 
     def put_row(self, **changes: Any) -> None:
         """Write its row, and keep in mind what it said."""
-        if changes.get('state') == DRAINING:
+        if changes.get('state') == DRAINING_STATE:
             self._row_left = self.started_ms
         super().put_row(**changes)
 
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from seampond.clock import Clock
-from seampond.platform.names import DRAINING, READY, SERVERS_TABLE
+from seampond.platform.names import DRAINING_STATE, READY_STATE, SERVERS_TABLE
 from seampond.platform.tests.rows import ConfigurationRow, put_configuration
 from seampond.testing.gateway_processes import GatewayProcess
 from seampond.testing.saying import SayingFleet
@@ -112,7 +112,7 @@
     server.leaves = True
     await scene.clock.sleep(scene.rng.uniform(0, _LEAVE_MS))
     if scene.rng.random() < _ROW_PART and server.started_ms == started_ms:
-        server.put_row(state=DRAINING)
+        server.put_row(state=DRAINING_STATE)
     await scene.clock.sleep(_LEAVE_MS)
     if server.started_ms == started_ms:
         server.crash()
@@ -138,7 +138,7 @@
     put_configuration(scene.store, scene.configuration)
     for server in scene.fleet.saying:
         if server.is_up:
-            state = DRAINING if server.has_told_row else READY
+            state = DRAINING_STATE if server.has_told_row else READY_STATE
             server.put_row(state=state)
 
 
--- a/seampond/testing/store.py
+++ b/seampond/testing/store.py
@@ -71,7 +71,7 @@
         self._history = self._history[:kept]
         self._written_ms = self._written_ms[:kept]
         self.rows = {
-            (str(row['table']), str(row[names.KEY])): row
+            (str(row['table']), str(row[names.KEY_FIELD])): row
             for row in self._history
         }
         newest = self._history[-1] if self._history else {}
@@ -115,7 +115,7 @@
         await self._send(writer, self.answer(request, stamped))
 
     def _stamp(self, status: int, body: bytes = b'') -> bytes:
-        headers = {names.ERA.decode(): str(self.era)} if self.era else {}
+        headers = {names.ERA_HEADER.decode(): str(self.era)} if self.era else {}
         return write_answer(status, headers, body)
 
     async def _send(self, writer: asyncio.StreamWriter, answer: bytes) -> None:
@@ -130,8 +130,8 @@
             await asyncio.sleep(_PART_MS / MS_PER_SECOND)
 
     async def _feed(self, query: dict[str, str]) -> dict[str, object] | None:
-        since = int(query[names.SINCE])
-        until_ms = self.clock.now() + int(query[names.WAIT])
+        since = int(query[names.SINCE_PARAMETER])
+        until_ms = self.clock.now() + int(query[names.WAIT_PARAMETER])
         era = self.era
         while True:
             is_known = self.oldest <= since <= self.version
@@ -164,21 +164,23 @@
         return {'rows': rows, 'more': False}
 
     def _transact(self, body: dict[str, list[dict[str, str]]]) -> bool:
-        for expected in body.get(names.EXPECTED, []):
-            known = self.rows.get((expected['table'], expected[names.KEY]), {})
+        for expected in body.get(names.EXPECTED_FIELD, []):
+            known = self.rows.get(
+                (expected['table'], expected[names.KEY_FIELD]), {}
+            )
             version = 0 if known.get('gone') else known.get('ver', 0)
             if version != expected['ver']:
                 return False
-        for row in body.get(names.REMOVED, []):
-            self.drop(row['table'], row[names.KEY])
+        for row in body.get(names.REMOVED_FIELD, []):
+            self.drop(row['table'], row[names.KEY_FIELD])
         for row in body.get('put', []):
             content = base64.b64decode(row['value'])
-            self.put(row['table'], row[names.KEY], content)
+            self.put(row['table'], row[names.KEY_FIELD], content)
         return True
 
     def _store(self, table: str, key: str, part: dict[str, object]) -> None:
         self.version += 1
-        row = {'table': table, names.KEY: key, 'ver': self.version} | part
+        row = {'table': table, names.KEY_FIELD: key, 'ver': self.version} | part
         self.rows[(table, key)] = row
         self._history.append(row)
         self._written_ms.append(self.clock.now())
