--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -60,7 +60,7 @@
     Mechanism(
         'kept prompts',
         'forwarding/selection.py',
-        'if part not in backend.kept_parts:',
+        'if part not in backend.cached_parts:',
         'if part:',
     ),
     Mechanism(
@@ -90,7 +90,7 @@
     Mechanism(
         'only where the answer begins in time',
         'forwarding/scheduler.py',
-        'if job.has_begun or not backend.load(now_ms):',
+        'if job.has_streamed or not backend.load(now_ms):',
         'if job:',
     ),
     Mechanism(
--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -212,9 +212,9 @@
 
     def note_not_run(self, job: Job) -> None:
         """Take the charge of a request back that no server has run."""
-        if job.tenant is not None and job.charged:
-            self._refund(job.tenant, job.charged)
-            job.charged = 0
+        if job.tenant is not None and job.charged_units:
+            self._refund(job.tenant, job.charged_units)
+            job.charged_units = 0
 
     def _find_route(
         self, configuration: Configuration, arrival: Arrival
@@ -260,16 +260,16 @@
     ) -> Job:
         names = self._names
         patience = arrival.get(names.deadline)
-        patience_ms = _DEFAULT_PATIENCE_MS
+        max_wait_ms = _DEFAULT_PATIENCE_MS
         if patience.isdigit():
-            patience_ms = int(patience)
+            max_wait_ms = int(patience)
         prompt = parse_prompt(
             arrival.get(names.tokens), arrival.get(names.prompt)
         )
         priority = route.priority
         if tenant is not None and tenant.priority is not None:
             priority = tenant.priority
-        held_ms = min(route.timeout_ms, patience_ms)
+        held_ms = min(route.timeout_ms, max_wait_ms)
         return Job(
             request_id=arrival.get(names.request_id),
             method=arrival.method,
@@ -281,11 +281,11 @@
             pool=pick_pool(route, self._rng),
             priority=priority,
             arrived_ms=arrival.arrived_ms,
-            patience_ms=patience_ms,
-            end_ms=arrival.arrived_ms + held_ms,
+            max_wait_ms=max_wait_ms,
+            deadline_ms=arrival.arrived_ms + held_ms,
             prompt=prompt,
             last_event=arrival.get(names.last_event),
-            is_retry=self._is_retry(route, patience_ms),
+            is_retry=self._is_retry(route, max_wait_ms),
             fingerprint=fingerprint(
                 arrival.method,
                 arrival.get(b'host').lower(),
@@ -295,7 +295,7 @@
             ),
         )
 
-    def _is_retry(self, route: Route, patience_ms: int) -> bool:
+    def _is_retry(self, route: Route, max_wait_ms: int) -> bool:
         """Tell whether a caller has used up a part of its time already.
 
         Explanation
@@ -304,9 +304,9 @@
         about equally patient, and one that was turned away and comes back
         says that it waits no longer than what is left.
         """
-        longest_ms = max(self._longest.get(route.name, 0), patience_ms)
+        longest_ms = max(self._longest.get(route.name, 0), max_wait_ms)
         self._longest[route.name] = longest_ms
-        return patience_ms < longest_ms * _REPEAT_PART
+        return max_wait_ms < longest_ms * _REPEAT_PART
 
     def _check_quota(self, job: Job) -> None:
         tenant = job.tenant
@@ -322,4 +322,4 @@
         )
         if wait_ms:
             raise Refusal(Cause.over_quota, step=_STEP, retry_after_ms=wait_ms)
-        job.charged = units
+        job.charged_units = units
--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -236,7 +236,7 @@
                 retry_after_ms=web.stop_retry_after_ms(stop),
             )
         # Its answer is given before the connection is closed.
-        job.end_ms = min(job.end_ms, stop.close_ms)
+        job.deadline_ms = min(job.deadline_ms, stop.close_ms)
 
     async def _start(
         self, status: int, headers: list[tuple[bytes, bytes]]
@@ -260,7 +260,7 @@
         )
 
     def _note_not_run(self) -> None:
-        if self._progress and not self._progress.job.maybe_run:
+        if self._progress and not self._progress.job.may_have_run:
             self._web.admission.note_not_run(self._progress.job)
 
     async def _read_body(self, receive: Receive) -> bytes:
@@ -303,7 +303,7 @@
         if refusal.says_not_run and self._progress is not None:
             self._web.promises.check(
                 Rule.true_not_run,
-                not self._progress.job.maybe_run,
+                not self._progress.job.may_have_run,
                 step='refuse',
             )
         text = refusal.cause.value.encode()
@@ -358,7 +358,7 @@
         'rank': job.priority,
         'prompt_tokens': job.prompt.tokens,
         'answer_tokens': job.prompt.answer_tokens,
-        'end_ms': job.end_ms - job.arrived_ms,
+        'end_ms': job.deadline_ms - job.arrived_ms,
         'fingerprint': format_fingerprint(job.fingerprint),
     }
 
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -18,9 +18,9 @@
     parse_keep_alive_ms,
 )
 from seampond.forwarding.selection import (
-    count_unread,
+    count_pending_tokens,
     expect_first_ms,
-    note_kept,
+    record_cached,
 )
 from seampond.forwarding.server_signals import parse_signals
 from seampond.promises import Promises, Rule
@@ -60,7 +60,7 @@
         """Send the request and pass the answer on."""
         backend, job = self.backend, self.progress.job
         now_ms = self.clock.now()
-        pool = self.backends.speed_of(job.pool)
+        pool = self.backends.pool_speed(job.pool)
         load = backend.load(now_ms)
         self.tried = Try(
             backend.server.id,
@@ -72,12 +72,12 @@
         self.progress.trail.append(self.tried)
         backend.unanswered[job.request_id] = (
             now_ms,
-            count_unread(backend, job),
+            count_pending_tokens(backend, job),
         )
         try:
             with backend.run(
                 job.fingerprint,
-                is_suspect=job.strikes > 0,
+                is_suspect=job.crash_count > 0,
                 is_trial=job.is_trial,
             ):
                 outcome = await self._run()
@@ -96,14 +96,14 @@
 
     async def _run(self) -> Outcome:
         try:
-            connection = await self.backends.connect(self.backend)
+            connection = await self.backends.acquire_connection(self.backend)
         except ExchangeError as error:
             return self._fail(error)
         if not self._may_send():
             # The list or an answer has told of its leave while we connected,
             # it has asked for rest or named a limit, or a server has ended
             # under another copy of the request.
-            self.backends.give_back(self.backend, connection, None)
+            self.backends.release_connection(self.backend, connection, None)
             return Outcome.unreached
         keep_alive_ms: int | None = None
         try:
@@ -118,7 +118,9 @@
             )
             raise
         finally:
-            self.backends.give_back(self.backend, connection, keep_alive_ms)
+            self.backends.release_connection(
+                self.backend, connection, keep_alive_ms
+            )
         return outcome
 
     def _may_send(self) -> bool:
@@ -159,7 +161,7 @@
             (Rule.no_work_above_limit, self._is_permitted(now_ms)),
             (
                 Rule.single_dispatch,
-                job.route.may_repeat or not job.maybe_run,
+                job.route.may_repeat or not job.may_have_run,
             ),
             (Rule.bounded_attempts, job.attempts < job.route.attempts),
             (Rule.quarantine, self.quarantine.may_send(job)),
@@ -168,9 +170,9 @@
 
     async def _relay(self, connection: Connection) -> Outcome:
         job = self.progress.job
-        had_run = job.maybe_run
+        had_run = job.may_have_run
         # From here on only the server's own word says that it has not run.
-        job.maybe_run = True
+        job.may_have_run = True
         head = await connection.read_head()
         self._note_load(head)
         # The row that says the same may come late: by 12.7 s in an outage of
@@ -178,7 +180,7 @@
         reported = parse_signals(head, self.names)
         self.backends.apply_signals(self.backend, reported, self.sent_ms)
         if self._is_rejection(head):
-            job.maybe_run = had_run
+            job.may_have_run = had_run
             await connection.read_body(_WHOLE_MAX_BYTES)
             self._note_rejection(head)
             return Outcome.rejected
@@ -196,7 +198,7 @@
     ) -> Outcome:
         body = await connection.read_body(_WHOLE_MAX_BYTES)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            self.backend.note_failure(self.clock.now(), _ERRORS_IN_A_ROW)
+            self.backend.record_failure(self.clock.now(), _ERRORS_IN_A_ROW)
             self.progress.kept = Answer(head, body)
             return Outcome.failed
         sink = self.progress.sink
@@ -223,7 +225,7 @@
             if events:
                 if not sink.has_started:
                     await sink.start(head, None)
-                progress.job.has_begun = True
+                progress.job.has_streamed = True
                 await sink.send(events)
         if progress.splitter.rest:
             raise self._error('ended inside an event')
@@ -237,16 +239,16 @@
         job, backend = self.progress.job, self.backend
         backend.unanswered.pop(job.request_id, None)
         self.tried.first_ms = self.clock.now() - self.sent_ms
-        backend.note_success()
+        backend.record_success()
         backend.signals.record_answer(self.sent_ms)
         if job.is_stream:
-            note_kept(backend, job)
-            pool = self.backends.speed_of(job.pool)
+            record_cached(backend, job)
+            pool = self.backends.pool_speed(job.pool)
             expected_ms = self.tried.expected_ms / pool.first_factor
             pool.note_first(self.tried.first_ms, expected_ms)
         else:
             backend.speed.note_service(self.tried.first_ms)
-            self.backends.refresh_speed(job.pool)
+            self.backends.refresh_pool_speed(job.pool)
 
     def _note_part(self, parts: int) -> None:
         """Learn from the pauses of a stream, while it runs."""
@@ -263,14 +265,14 @@
         if parts % _PARTS_TO_LEARN:
             return
         self.backend.speed.note_gap(self.tried.gap_ms)
-        self.backends.refresh_speed(self.progress.job.pool)
+        self.backends.refresh_pool_speed(self.progress.job.pool)
 
     def _note_stream(self, parts: int) -> None:
         """Learn from a whole stream."""
         job = self.progress.job
         self.backend.speed.note_pause(self.tried.pause_ms)
         if job.attempts == 1:
-            pool = self.backends.speed_of(job.pool)
+            pool = self.backends.pool_speed(job.pool)
             pool.note_whole(job.prompt.answer_tokens, parts)
 
     def _check_stamp(self, head: ResponseHead) -> None:
@@ -286,9 +288,9 @@
     def _note_rejection(self, head: ResponseHead) -> None:
         now_ms = self.clock.now()
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
-            self.backend.note_replaced(now_ms)
+            self.backend.record_replacement(now_ms)
         else:
-            self.backend.note_failure(now_ms, _ERRORS_IN_A_ROW)
+            self.backend.record_failure(now_ms, _ERRORS_IN_A_ROW)
 
     def _note_load(self, head: ResponseHead) -> None:
         fields = head.get(self.names.load).split(b',')
@@ -314,7 +316,7 @@
 
     def _fail(self, error: ExchangeError) -> Outcome:
         backend = self.backend
-        backend.note_failure(self.clock.now())
+        backend.record_failure(self.clock.now())
         if error.is_lost:
             self._note_lost(error)
         _logger.warning(
@@ -330,7 +332,7 @@
                 'reason': error.message,
                 'was_sent': error.was_sent,
                 'in_flight': backend.in_flight,
-                'failures': backend.failures,
+                'failures': backend.consecutive_failures,
             },
         )
         return Outcome.in_doubt if error.was_sent else Outcome.unreached
--- a/seampond/forwarding/availability.py
+++ b/seampond/forwarding/availability.py
@@ -133,11 +133,11 @@
         if not limited:
             return
         for waiter in _without(queue.waiters, _count_coming(limited, now_ms)):
-            patience_ms = self._bear_ms(queue, waiter, now_ms)
-            best = self._choose(limited, waiter, now_ms + patience_ms)
+            max_wait_ms = self._bear_ms(queue, waiter, now_ms)
+            best = self._choose(limited, waiter, now_ms + max_wait_ms)
             if best is not None:
                 self.permits.ask(
-                    best, patience_ms, for_retry=waiter.job.is_retry
+                    best, max_wait_ms, for_retry=waiter.job.is_retry
                 )
 
     def list_hopeless(
--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -27,19 +27,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OthersLoad:
+class RemoteLoad:
     """What the other gateways together have on a server.
 
     Parameters
     ----------
-    running, unread : int
+    running, pending_tokens : int
         Their requests, and the tokens to be read for those that wait for
         their first byte.
 
     """
 
     running: int
-    unread: int
+    pending_tokens: int
     at_ms: int
 
 
@@ -58,14 +58,14 @@
         Whether its row names it, as far as it can be read.
     cold_until_ms : int
         Until when it is slow from its start.
-    others : OthersLoad or None
+    remote_load : RemoteLoad or None
         What the other gateways have there, as they told us.
     running : Counter[int]
         Our requests there, by fingerprint.
-    suspects, trials : int
+    suspect_count, trial_count : int
         How many of ours there may end it, and how many of them are tried on
         leave.
-    is_on_probe : bool
+    is_probing : bool
         Whether a request of ours is there to find out if it is well again.
     unanswered : dict[bytes, tuple[int, int]]
         By request, those of ours that wait for the first byte: since when,
@@ -76,26 +76,26 @@
     server: Server
     signals: SignalState = field(default_factory=SignalState)
     in_flight: int = 0
-    others: OthersLoad | None = None
+    remote_load: RemoteLoad | None = None
     speed: Speed = field(default_factory=Speed)
     unanswered: dict[bytes, tuple[int, int]] = field(default_factory=dict)
     running: Counter[int] = field(default_factory=Counter)
-    suspects: int = 0
-    trials: int = 0
-    failures: int = 0
+    suspect_count: int = 0
+    trial_count: int = 0
+    consecutive_failures: int = 0
     paused_until_ms: int = 0
-    is_on_probe: bool = False
+    is_probing: bool = False
     is_listed: bool = True
     is_readable: bool = True
     fallback_until_ms: int = 0
     cold_until_ms: int = 0
     report: LoadReport | None = None
     idle: list[Connection] = field(default_factory=list)
-    open_count: int = 0
-    kept_parts: dict[str, int] = field(default_factory=dict)
+    connection_count: int = 0
+    cached_parts: dict[str, int] = field(default_factory=dict)
 
     @property
-    def own_unread(self) -> int:
+    def own_pending_tokens(self) -> int:
         """The tokens to be read for ours that wait for the first byte."""
         return sum(tokens for _, tokens in self.unanswered.values())
 
@@ -138,13 +138,13 @@
 
     def is_usable(self, now_ms: int) -> bool:
         """Whether to send to it now."""
-        is_taken = self.signals.needs_probe and self.is_on_probe
+        is_taken = self.signals.needs_probe and self.is_probing
         is_paused = now_ms < self.paused_until_ms
         return self.may_send(now_ms) and not (is_taken or is_paused)
 
     def load(self, now_ms: int) -> int:
         """Estimate the requests that it holds, ours and others'."""
-        others, report = self.others, self.report
+        others, report = self.remote_load, self.report
         told = others.running if others else 0
         told_ms = others.at_ms if others else 0
         is_recent = report and now_ms - report.at_ms < _REPORT_AGE_MS
@@ -152,12 +152,12 @@
             told = report.running + report.waiting - report.own
         return self.in_flight + max(0, told)
 
-    def unread(self, now_ms: int) -> int:
+    def pending_tokens(self, now_ms: int) -> int:
         """Estimate the tokens that wait there to be read."""
-        own = self.own_unread
-        others = self.others
+        own = self.own_pending_tokens
+        others = self.remote_load
         if others and now_ms - others.at_ms < _REPORT_AGE_MS:
-            return own + others.unread
+            return own + others.pending_tokens
         return own
 
     def longest_wait_ms(self, now_ms: int) -> int:
@@ -174,38 +174,38 @@
     ) -> Iterator[None]:
         """Count a request as running here until the end of the `with`."""
         self.running[fingerprint] += 1
-        self.suspects += is_suspect
-        self.trials += is_trial
+        self.suspect_count += is_suspect
+        self.trial_count += is_trial
         try:
             yield
         finally:
             self._end_run(fingerprint, is_suspect=is_suspect, is_trial=is_trial)
 
-    def note_place(self) -> None:
+    def record_dispatch(self) -> None:
         """Note that a request of ours is to be sent there."""
         self.in_flight += 1
-        self.is_on_probe = self.signals.needs_probe
+        self.is_probing = self.signals.needs_probe
 
-    def note_release(self) -> None:
+    def record_release(self) -> None:
         """Note that a request of ours is there no more."""
         self.in_flight -= 1
-        self.is_on_probe = False
+        self.is_probing = False
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Note a sound answer."""
-        self.failures = 0
+        self.consecutive_failures = 0
         self.paused_until_ms = 0
 
-    def note_failure(self, now_ms: int, least: int = 1) -> None:
+    def record_failure(self, now_ms: int, least: int = 1) -> None:
         """Note a failure; after `least` in a row, pause, longer each time."""
-        self.failures += 1
-        if self.failures < least:
+        self.consecutive_failures += 1
+        if self.consecutive_failures < least:
             return
-        exponent = min(self.failures - least, 4)
+        exponent = min(self.consecutive_failures - least, 4)
         pause_ms = min(_LONGEST_PAUSE_MS, _FIRST_PAUSE_MS << exponent)
         self.paused_until_ms = now_ms + pause_ms
 
-    def note_replaced(self, now_ms: int) -> None:
+    def record_replacement(self, now_ms: int) -> None:
         """Note that another server answers at its address.
 
         Explanation
@@ -214,21 +214,21 @@
         stays until it lapses.  The pause ends by itself, should the answer
         have been wrong.
         """
-        self.failures += 1
+        self.consecutive_failures += 1
         self.paused_until_ms = now_ms + _REPLACED_PAUSE_MS
 
-    def drop_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections that rest."""
         for connection in self.idle:
             connection.close()
-            self.open_count -= 1
+            self.connection_count -= 1
         self.idle.clear()
 
     def _end_run(
         self, fingerprint: int, *, is_suspect: bool, is_trial: bool
     ) -> None:
-        self.suspects -= is_suspect
-        self.trials -= is_trial
+        self.suspect_count -= is_suspect
+        self.trial_count -= is_trial
         self.running[fingerprint] -= 1
         if not self.running[fingerprint]:
             self.running.pop(fingerprint)
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from seampond.clock import Clock
-from seampond.forwarding.backend import Backend, OthersLoad
+from seampond.forwarding.backend import Backend, RemoteLoad
 from seampond.forwarding.connection import Connection, open_connection
 from seampond.forwarding.server import Server
 from seampond.forwarding.server_limit import ServerLimit
@@ -49,7 +49,7 @@
     grace_ms : int
         How long a server whose row has gone is a fallback, and one that has
         said that it leaves a last resort.
-    bound_connections : Callable[[str], int]
+    connection_limit : Callable[[str], int]
         Gives how many connections we may have to each server of a pool.
     hash_name : Callable[[str], int]
         Gives the key by which other gateways tell of a server's life.
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    note_limit : LimitCallback
+    on_limit : LimitCallback
         Told of the limits of servers that have named one.
 
     """
@@ -68,14 +68,14 @@
         clock: Clock,
         id_header: bytes,
         grace_ms: int = 0,
-        bound_connections: Callable[[str], int] = _no_bound,
+        connection_limit: Callable[[str], int] = _no_bound,
         hash_name: Callable[[str], int] = hash,
         count_signal: Callable[[str], None] = _count_nothing,
     ) -> None:
         """Start with none."""
-        self.bound_connections = bound_connections
+        self.connection_limit = connection_limit
         self.grace_ms = grace_ms
-        self.note_limit: LimitCallback = _tell_nobody
+        self.on_limit: LimitCallback = _tell_nobody
         self._clock = clock
         self._id_header = id_header
         self._hash_name = hash_name
@@ -83,7 +83,7 @@
         self._by_id: dict[str, Backend] = {}
         self._by_key: dict[int, Backend] = {}
         # What the others have, where they have anything.
-        self._told: dict[int, OthersLoad] = {}
+        self._told: dict[int, RemoteLoad] = {}
         self._by_pool: dict[str, list[Backend]] = {}
         self._speeds: dict[str, PoolSpeed] = {}
 
@@ -99,12 +99,12 @@
         """Give one of them."""
         return self._by_id.get(server_id)
 
-    def take_others(self, loads: Mapping[int, OthersLoad]) -> None:
+    def update_remote_loads(self, loads: Mapping[int, RemoteLoad]) -> None:
         """Take what the other gateways have, where somebody told it anew.
 
         Parameters
         ----------
-        loads : Mapping[int, OthersLoad]
+        loads : Mapping[int, RemoteLoad]
             By key of the server's life.
 
         """
@@ -113,25 +113,25 @@
             self._told[key] = told
             backend = self._by_key.get(key)
             if backend is not None:
-                backend.others = told
+                backend.remote_load = told
             if not told.running:
                 self._told.pop(key)
 
-    def speed_of(self, pool: str) -> PoolSpeed:
+    def pool_speed(self, pool: str) -> PoolSpeed:
         """Give what is known of the speed of a pool."""
         return self._speeds.setdefault(pool, PoolSpeed())
 
-    def refresh_speed(self, pool: str) -> PoolSpeed:
+    def refresh_pool_speed(self, pool: str) -> PoolSpeed:
         """Take the pool's speed anew from its servers'."""
-        speed = self.speed_of(pool)
-        speed.refresh(backend.speed for backend in self.of_pool(pool))
+        speed = self.pool_speed(pool)
+        speed.refresh(backend.speed for backend in self.in_pool(pool))
         return speed
 
-    def of_pool(self, pool: str) -> list[Backend]:
+    def in_pool(self, pool: str) -> list[Backend]:
         """Give the servers of one pool, the fallbacks among them."""
         return self._by_pool.get(pool, [])
 
-    def all_of_pool(self, pool: str) -> list[Backend]:
+    def all_in_pool(self, pool: str) -> list[Backend]:
         """Give all servers of a pool, also those that have only open work."""
         return [
             backend
@@ -139,7 +139,7 @@
             if backend.server.pool == pool
         ]
 
-    def take(self, servers: Iterable[Server], gone: Iterable[str]) -> None:
+    def update(self, servers: Iterable[Server], gone: Iterable[str]) -> None:
         """Take changes of the list."""
         for server in servers:
             backend = self._by_id.get(server.id)
@@ -151,7 +151,7 @@
             self._unlist(server_id)
         self._index()
 
-    def suspend(self, names: Iterable[str]) -> None:
+    def mark_unreadable(self, names: Iterable[str]) -> None:
         """Send nothing to servers whose rows cannot be read, for now.
 
         Explanation
@@ -164,7 +164,7 @@
             if backend is not None:
                 backend.is_readable = False
 
-    def keep_only(
+    def replace_all(
         self, servers: Iterable[Server], unreadable: Iterable[str] = ()
     ) -> None:
         """Take the whole list; what is not on it is gone.
@@ -177,7 +177,7 @@
         """
         listed = list(servers)
         names = {server.id for server in listed}.union(unreadable)
-        self.take(listed, [name for name in self._by_id if name not in names])
+        self.update(listed, [name for name in self._by_id if name not in names])
 
     def apply_signals(
         self, backend: Backend, reported: ServerSignals, sent_ms: int
@@ -197,11 +197,11 @@
         )
         if limit.said_ms == sent_ms:
             key = self._hash_name(backend.server.incarnation)
-            self.note_limit(key, limit, is_other=limit.rate != before)
+            self.on_limit(key, limit, is_other=limit.rate != before)
         if reported.is_draining:
-            backend.drop_idle()
+            backend.close_idle_connections()
 
-    def take_limit(
+    def apply_limit_report(
         self, key: int, rate: float | None, said_ms: int
     ) -> ServerLimit | None:
         """Take what another gateway has heard of a limit; give what holds.
@@ -219,7 +219,7 @@
         self._signals.take_limit(backend.server, signals, rate, said_ms)
         return signals.limit
 
-    async def connect(self, backend: Backend) -> Connection:
+    async def acquire_connection(self, backend: Backend) -> Connection:
         """Give a connection to a server, a rested one if there is any.
 
         Raises
@@ -233,14 +233,14 @@
             if connection.is_usable:
                 return connection
             connection.close()
-            backend.open_count -= 1
+            backend.connection_count -= 1
         connection = await open_connection(
             backend.server.address, self._clock, self._id_header, _CONNECT_MS
         )
-        backend.open_count += 1
+        backend.connection_count += 1
         return connection
 
-    def give_back(
+    def release_connection(
         self,
         backend: Backend,
         connection: Connection,
@@ -251,7 +251,7 @@
         if connection.finish(backoff_ms):
             backend.idle.append(connection)
         else:
-            backend.open_count -= 1
+            backend.connection_count -= 1
 
     def _add(self, server: Server) -> None:
         told = self._told.get(self._hash_name(server.incarnation))
@@ -260,7 +260,7 @@
         self._by_id[server.id] = Backend(
             server,
             signals,
-            others=told,
+            remote_load=told,
             cold_until_ms=self._clock.now() + server.cold_ms,
         )
         self._tell('server listed', server)
@@ -292,7 +292,7 @@
         """
         backend.is_listed = False
         backend.fallback_until_ms = 0
-        backend.drop_idle()
+        backend.close_idle_connections()
         self._tell('server started again', backend.server)
 
     def _unlist(self, server_id: str) -> None:
@@ -302,7 +302,7 @@
         backend.is_listed = False
         if not backend.is_draining:
             backend.fallback_until_ms = self._clock.now() + self.grace_ms
-        backend.drop_idle()
+        backend.close_idle_connections()
         self._tell('server gone', backend.server)
 
     def _index(self) -> None:
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -84,7 +84,7 @@
         job = progress.job
         self._parts.budget.note_fresh(job.pool)
         progress.splitter.last_id = job.last_event
-        left_ms = max(0, job.end_ms - self._clock.now())
+        left_ms = max(0, job.deadline_ms - self._clock.now())
         try:
             async with asyncio.timeout(left_ms / MS_PER_SECOND):
                 await self._try_servers(progress)
@@ -137,7 +137,7 @@
 
     def _may_try_again(self, progress: Progress, outcome: Outcome) -> bool:
         job = progress.job
-        if job.end_ms - self._clock.now() < _MIN_LEFT_MS:
+        if job.deadline_ms - self._clock.now() < _MIN_LEFT_MS:
             return False
         if outcome is Outcome.unreached:
             progress.unreached += 1
@@ -146,7 +146,7 @@
             return False
         if job.attempts >= job.route.attempts:
             return False
-        return self._parts.budget.take(job.pool, is_resumed=job.has_begun)
+        return self._parts.budget.take(job.pool, is_resumed=job.has_streamed)
 
     async def _give_up(self, progress: Progress, refusal: Refusal) -> None:
         """Give the final answer: the server's own failure, or ours."""
@@ -158,12 +158,12 @@
             await sink.send(kept.body)
             await sink.finish()
             return
-        if progress.job.maybe_run and refusal.cause is not Cause.timeout:
+        if progress.job.may_have_run and refusal.cause is not Cause.timeout:
             raise Refusal(Cause.in_doubt, step=_STEP) from refusal
         raise refusal
 
     def _late(self, job: Job) -> Refusal:
-        if job.maybe_run:
+        if job.may_have_run:
             return Refusal(Cause.timeout, step=_STEP)
         return Refusal(
             Cause.waited,
--- a/seampond/forwarding/headroom.py
+++ b/seampond/forwarding/headroom.py
@@ -44,7 +44,7 @@
 
     def give_part(self, job: Job) -> float:
         """Give the part of a server's slots that a request leaves free."""
-        if job.has_begun or not zlib.crc32(job.request_id) % _FREE_IN:
+        if job.has_streamed or not zlib.crc32(job.request_id) % _FREE_IN:
             return 0
         return min(_PART_MAX, self._steps(job) * _PART_A_STEP)
 
--- a/seampond/forwarding/job.py
+++ b/seampond/forwarding/job.py
@@ -55,20 +55,20 @@
     ----------
     target : bytes
         Path and query, byte for byte as the caller sent them.
-    patience_ms : int
+    max_wait_ms : int
         How long the caller said that it waits, from `arrived_ms`.
-    end_ms : int
+    deadline_ms : int
         When the final answer is due.
     is_retry : bool
         Whether the caller seems to have been turned away before.
-    has_begun : bool
+    has_streamed : bool
         Whether the caller has a part of its stream.
     fingerprint : int
         The key of path, workspace and body, which a caller that comes again
         has in common with its first try.
-    strikes : int
+    crash_count : int
         How many servers have ended under it, in this and earlier tries.
-    is_unproved_copy : bool
+    is_concurrent_duplicate : bool
         Whether the same request is under way here and had no good answer.
     is_trial : bool
         Whether it has leave to be sent once although it is in quarantine.
@@ -88,18 +88,18 @@
     pool: str
     priority: int
     arrived_ms: int
-    patience_ms: int
-    end_ms: int
+    max_wait_ms: int
+    deadline_ms: int
     prompt: Prompt
     last_event: bytes = b''
-    charged: float = 0
+    charged_units: float = 0
     attempts: int = 0
-    maybe_run: bool = False
+    may_have_run: bool = False
     is_retry: bool = False
-    has_begun: bool = False
+    has_streamed: bool = False
     fingerprint: int = 0
-    strikes: int = 0
-    is_unproved_copy: bool = False
+    crash_count: int = 0
+    is_concurrent_duplicate: bool = False
     is_trial: bool = False
     permit: Permit | None = None
 
--- a/seampond/forwarding/permits.py
+++ b/seampond/forwarding/permits.py
@@ -22,7 +22,7 @@
         """Take up a permit to send now."""
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_retry: bool
+        self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
 
@@ -55,7 +55,7 @@
         return Permit(0, 0)
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_retry: bool
+        self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
         """Ask nobody."""
 
--- a/seampond/forwarding/queues.py
+++ b/seampond/forwarding/queues.py
@@ -78,7 +78,7 @@
     return (
         job.priority,
         job.route.priority,
-        not job.has_begun,
+        not job.has_streamed,
         not job.is_retry,
         waiter.due_ms,
     )
--- a/seampond/forwarding/request_encoding.py
+++ b/seampond/forwarding/request_encoding.py
@@ -53,7 +53,7 @@
     server gets the time that is left.
     """
     replaced = {names.last_event} if job.last_event else set()
-    left_ms = max(1, job.patience_ms - (now_ms - job.arrived_ms))
+    left_ms = max(1, job.max_wait_ms - (now_ms - job.arrived_ms))
     lines = [b'%b %b HTTP/1.1' % (job.method, job.target)]
     lines.extend(
         b'%b: %b' % (name, text)
--- a/seampond/forwarding/retry_times.py
+++ b/seampond/forwarding/retry_times.py
@@ -33,7 +33,7 @@
         From 0 to 1, drawn for the caller.
 
     """
-    left_ms = max(0, job.end_ms - now_ms)
+    left_ms = max(0, job.deadline_ms - now_ms)
     part = _LEAST_PART + (_MOST_PART - _LEAST_PART) * draw
     wait_ms = min(left_ms * _LEFT_PART, job.route.target_ms * part)
     return max(1, round(wait_ms))
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -146,7 +146,7 @@
 
     def release(self, backend: Backend) -> None:
         """Give a place back and hand it on."""
-        backend.note_release()
+        backend.record_release()
         self.assign_slots(backend.server.pool)
 
     def assign_slots(self, pool: str) -> None:
@@ -200,7 +200,7 @@
         Only where all servers have given what their limits allow.  Where who
         keeps their buckets does not answer, the time is no more than likely.
         """
-        known = self._backends.of_pool(job.pool)
+        known = self._backends.in_pool(job.pool)
         if self.availability.first_ms(known) is not None:
             wait_ms = await self.availability.reserve(known)
             if wait_ms is not None:
@@ -218,7 +218,7 @@
         do elsewhere; with limits no faster than these allow.
         """
         now_ms, draw = self._clock.now(), self._rng.random()
-        known = self._backends.of_pool(job.pool)
+        known = self._backends.in_pool(job.pool)
         available_ms = self.availability.first_ms(known)
         if available_ms is None:
             return self._give_return_ms(job, now_ms, draw)
@@ -234,7 +234,7 @@
 
     def _occupy(self, backend: Backend, job: Job) -> Backend:
         job.permit = self.availability.take(backend, job)
-        backend.note_place()
+        backend.record_dispatch()
         self._versions.record_placement(backend)
         return backend
 
@@ -267,7 +267,7 @@
     ) -> Backend | None:
         """Give the best of some servers, None if none has a place."""
         now_ms = self._clock.now()
-        speed = self._backends.speed_of(job.pool)
+        speed = self._backends.pool_speed(job.pool)
         best: Score | None = None
         found = None
         for backend in known:
@@ -295,7 +295,7 @@
         A look at all of 372 servers took 58 ms for each request, at 48 of them
         12 ms, both under the profiler (`bin/profile`).
         """
-        known = self._backends.of_pool(pool)
+        known = self._backends.in_pool(pool)
         if len(known) > _LOOKED_AT:
             known = self._rng.sample(known, _LOOKED_AT)
         if not any(backend.takes_work for backend in known):
@@ -324,7 +324,7 @@
 
     def _measure_room(self, pool: str, free_part: float) -> CapacityLimits:
         now_ms = self._clock.now()
-        known = self._backends.of_pool(pool)
+        known = self._backends.in_pool(pool)
         known = [one for one in known if one.may_send_without_permit(now_ms)]
         gateways = max(1, self._count_gateways())
         places = sum(backend.server.slots for backend in known)
@@ -333,7 +333,7 @@
         extra = _EXTRA_PLACES if own < places // gateways else 0
         return CapacityLimits(
             gateways,
-            self._backends.bound_connections(pool),
+            self._backends.connection_limit(pool),
             free_part,
             extra,
         )
@@ -354,10 +354,10 @@
 
     def _give_patience(self, job: Job) -> int:
         """Give until when a request waits for a place."""
-        patience_ms = _PATIENCE * job.route.target_ms
-        if job.has_begun:
-            patience_ms = _RESUME_PATIENCE_MS
-        return min(job.end_ms, self._clock.now() + round(patience_ms))
+        max_wait_ms = _PATIENCE * job.route.target_ms
+        if job.has_streamed:
+            max_wait_ms = _RESUME_PATIENCE_MS
+        return min(job.deadline_ms, self._clock.now() + round(max_wait_ms))
 
     async def _wait(self, waiter: Waiter) -> Backend:
         pool = waiter.job.pool
@@ -385,7 +385,7 @@
             return
         job = waiter.job
         self._shed(queue, lambda known: known.job.priority > job.priority)
-        known = self._backends.of_pool(job.pool)
+        known = self._backends.in_pool(job.pool)
         is_limited = any(one.signals.limit.is_named for one in known)
         cause = Cause.limited if is_limited else Cause.resting
         waiter.slot.set_exception(Refusal(cause, step=_STEP))
@@ -397,7 +397,7 @@
         is_in_order = queue.lowest_tier <= job.priority
         self._promises.check(Rule.shed_order, is_in_order, step=_STEP)
         has_server = any(
-            backend.takes_work for backend in self._backends.of_pool(job.pool)
+            backend.takes_work for backend in self._backends.in_pool(job.pool)
         )
         cause = Cause.waited if has_server else Cause.no_server
         return Refusal(cause, step=_STEP)
--- a/seampond/forwarding/scoring.py
+++ b/seampond/forwarding/scoring.py
@@ -30,10 +30,13 @@
     load = backend.load(now_ms)
     first_ms = expect_first_ms(backend, job, pool, now_ms, load)
     latest_ms = job.route.target_ms + expect_least_ms(job)
-    if load and first_ms > latest_ms and not job.has_begun:
+    if load and first_ms > latest_ms and not job.has_streamed:
         return None
-    end_ms = now_ms + first_ms + expect_made_ms(backend, job, pool)
-    if backend.signals.is_draining and end_ms > backend.signals.drain_until_ms:
+    finish_ms = now_ms + first_ms + expect_made_ms(backend, job, pool)
+    if (
+        backend.signals.is_draining
+        and finish_ms > backend.signals.drain_until_ms
+    ):
         return None
     cost_ms = rate_backend(backend, job, pool, zone, now_ms, first_ms)
     return (
@@ -56,12 +59,14 @@
     bring a request which ends its server, to two gateways at one moment, ended
     six servers of six within 10 ms, now three (test_crashing).
     """
-    if job.strikes:
-        shared = backend.suspects + (backend.failures > 0)
+    if job.crash_count:
+        shared = backend.suspect_count + (backend.consecutive_failures > 0)
         return load + backend.server.slots * shared
-    if backend.trials:
+    if backend.trial_count:
         return backend.server.slots
-    is_apart = job.is_unproved_copy and job.fingerprint not in backend.running
+    is_apart = (
+        job.is_concurrent_duplicate and job.fingerprint not in backend.running
+    )
     return int(is_apart)
 
 
@@ -81,4 +86,4 @@
         limit = backend.signals.limit
         return 0 if limit.is_named and limit.is_stale(now_ms) else 1
     may_go_on = not job.attempts and job.route.attempts > 1
-    return 0 if may_go_on and not job.strikes else 2
+    return 0 if may_go_on and not job.crash_count else 2
--- a/seampond/forwarding/selection.py
+++ b/seampond/forwarding/selection.py
@@ -20,24 +20,24 @@
 _MADE_PART = 0.1
 
 
-def count_kept(backend: Backend, job: Job) -> int:
+def count_cached_tokens(backend: Backend, job: Job) -> int:
     """Give the tokens of the prompt that the server should still hold."""
     kept = 0
     for part, tokens in job.prompt.parts:
-        if part not in backend.kept_parts:
+        if part not in backend.cached_parts:
             break
         kept += tokens
     return kept
 
 
-def count_unread(backend: Backend, job: Job) -> int:
+def count_pending_tokens(backend: Backend, job: Job) -> int:
     """Give the tokens of the prompt that the server has to read."""
-    return max(0, job.prompt.tokens - count_kept(backend, job))
+    return max(0, job.prompt.tokens - count_cached_tokens(backend, job))
 
 
-def note_kept(backend: Backend, job: Job) -> None:
+def record_cached(backend: Backend, job: Job) -> None:
     """Remember that the server has read this prompt."""
-    parts = backend.kept_parts
+    parts = backend.cached_parts
     for part, tokens in job.prompt.parts:
         parts.pop(part, None)
         parts[part] = tokens
@@ -67,8 +67,10 @@
     if not job.is_stream:
         service_ms = backend.speed.service_ms or pool.service_ms
         return service_ms * (1 + over / backend.server.slots)
-    unread = count_unread(backend, job) + backend.unread(now_ms)
-    model_ms = _FIRST_MS + unread / _TOKENS_PER_MS + _RUNNING_MS * load
+    pending_tokens = count_pending_tokens(
+        backend, job
+    ) + backend.pending_tokens(now_ms)
+    model_ms = _FIRST_MS + pending_tokens / _TOKENS_PER_MS + _RUNNING_MS * load
     model_ms += _QUEUED_MS * over
     first_ms = pool.pace(backend.speed) * pool.first_factor * model_ms
     return max(first_ms, float(backend.longest_wait_ms(now_ms)))
@@ -101,7 +103,7 @@
         cost_ms += _OTHER_ZONE_PART * job.route.target_ms
     if job.is_stream:
         made_ms = expect_made_ms(backend, job, pool)
-        if now_ms + cost_ms + made_ms > job.end_ms:
+        if now_ms + cost_ms + made_ms > job.deadline_ms:
             cost_ms += _TOO_SLOW_MS
         cost_ms += _MADE_PART * made_ms
         cost_ms += _rate_stall(backend, job, now_ms)
@@ -125,7 +127,7 @@
     """
     bound_ms = job.route.pause_ms
     pauses_long = bound_ms and backend.speed.pause_ms > bound_ms
-    if not pauses_long or count_unread(backend, job) < _LONG_TOKENS:
+    if not pauses_long or count_pending_tokens(backend, job) < _LONG_TOKENS:
         return 0
     return _STALL_MS * backend.load(now_ms)
 
--- a/seampond/forwarding/tests/test_admission.py
+++ b/seampond/forwarding/tests/test_admission.py
@@ -69,10 +69,10 @@
                     self.admission.admit(arrival, b'')
                 self.assertIs(caught.exception.cause, cause)
 
-    def _is_retry(self, patience_ms: int) -> bool:
+    def _is_retry(self, max_wait_ms: int) -> bool:
         headers = [
             (b'host', b'a.example'),
-            (NAMES.deadline, b'%d' % patience_ms),
+            (NAMES.deadline, b'%d' % max_wait_ms),
         ]
         arrival = Arrival(b'GET', b'/x/y', headers, 0)
         return self.admission.admit(arrival, b'').is_retry
--- a/seampond/forwarding/tests/test_availability.py
+++ b/seampond/forwarding/tests/test_availability.py
@@ -46,7 +46,7 @@
         return Permit(0, 1 << 60)
 
     def ask(
-        self, backend: Backend, patience_ms: int, *, for_retry: bool
+        self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
         """Note who is asked, and wait for the answer."""
         self.asked.append(backend.server.id)
@@ -72,7 +72,7 @@
         """Know two servers with limits."""
         self.clock = Clock()
         self.backends = Backends(self.clock, NAMES.request_id)
-        self.backends.keep_only(build_server(f'i-{one}') for one in (1, 2))
+        self.backends.replace_all(build_server(f'i-{one}') for one in (1, 2))
         self.scheduler = Scheduler(
             self.backends, ZONE, self.clock, lambda: 1, build_promises()
         )
@@ -181,7 +181,7 @@
 
     async def test_a_server_without_a_limit_is_waited_for(self) -> None:
         """It is full, and may have a place in time."""
-        self.backends.keep_only(build_server(f'i-{one}') for one in (1, 2, 3))
+        self.backends.replace_all(build_server(f'i-{one}') for one in (1, 2, 3))
         full = pick(self.backends, 'i-3')
         full.in_flight = full.server.slots
         self.giver.opens_at_ms = self.clock.now() + _LATER_MS
@@ -217,6 +217,6 @@
         self.giver.given = 1
         await self.scheduler.acquire(job, set())
         self.assertIsNotNone(job.permit)
-        self.backends.keep_only([build_server('i-9')])
+        self.backends.replace_all([build_server('i-9')])
         await self.scheduler.acquire(job, set())
         self.assertIsNone(job.permit)
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -217,7 +217,7 @@
     async def test_promises_stop_a_second_dispatch(self) -> None:
         """What may have run is not sent again, whoever asks for it."""
         with self.assertRaisesRegex(PromiseError, 'single-dispatch'):
-            await self._forward(_serve, route=_ONCE, maybe_run=True)
+            await self._forward(_serve, route=_ONCE, may_have_run=True)
         with self.assertRaisesRegex(PromiseError, 'bounded-attempts'):
             await self._forward(_serve, attempts=2)
         self.assertEqual(self.sends, 0)
@@ -226,7 +226,7 @@
         """The list may tell of a leave while we connect."""
         server = build_server('i-1')
         await self._check_not_sent(
-            lambda backends: backends.take(
+            lambda backends: backends.update(
                 [replace(server, is_draining=True)], []
             )
         )
@@ -319,8 +319,8 @@
             build_quarantine(),
         )
         with (
-            patch.object(backends, 'connect', connect_late),
-            patch.object(backends, 'give_back'),
+            patch.object(backends, 'acquire_connection', connect_late),
+            patch.object(backends, 'release_connection'),
         ):
             self.assertIs(await attempt.run(), Outcome.unreached)
         self.assertEqual(progress.job.attempts, 0)
--- a/seampond/forwarding/tests/test_retry_times.py
+++ b/seampond/forwarding/tests/test_retry_times.py
@@ -38,7 +38,7 @@
 
 def return_by_time_left(job: Job, now_ms: int, draw: float) -> int:
     """Spread those that were turned away over the time that they have left."""
-    return round((job.end_ms - now_ms) * (0.08 + 0.22 * draw))
+    return round((job.deadline_ms - now_ms) * (0.08 + 0.22 * draw))
 
 
 @dataclass
@@ -101,7 +101,7 @@
             name,
             route=_ROUTE,
             arrived_ms=self.clock.now(),
-            end_ms=since_ms + _DEADLINE_MS,
+            deadline_ms=since_ms + _DEADLINE_MS,
         )
         try:
             backend = await self.scheduler.acquire(job, set())
@@ -144,7 +144,7 @@
 
     def test_nobody_is_told_a_time_that_callers_do_not_heed(self) -> None:
         """They wait a third of what they have left at the most."""
-        job = build_job(route=_ROUTE, arrived_ms=0, end_ms=900)
+        job = build_job(route=_ROUTE, arrived_ms=0, deadline_ms=900)
         for draw in (0, 0.5, 1):
             back_ms = spread_retry_ms(job, 0, draw)
             self.assertLessEqual(back_ms, 300)
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from seampond.clock import Clock, ManualClock
-from seampond.forwarding.backend import Backend, OthersLoad
+from seampond.forwarding.backend import Backend, RemoteLoad
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.job import Prompt
 from seampond.forwarding.models import Kind
@@ -110,10 +110,11 @@
         tasks = [
             asyncio.create_task(
                 scheduler.acquire(
-                    build_job(name, route=_STREAM, has_begun=has_begun), set()
+                    build_job(name, route=_STREAM, has_streamed=has_streamed),
+                    set(),
                 )
             )
-            for name, has_begun in (('fresh', False), ('begun', True))
+            for name, has_streamed in (('fresh', False), ('begun', True))
         ]
         await until_true(lambda: scheduler.waiting == len(tasks))
         clock.advance(1000)
@@ -164,7 +165,7 @@
     async def test_loads_of_the_other_gateways_count(self) -> None:
         """A server full of others' requests is full, but for our share."""
         scheduler, (full, free) = build_scheduler(4, 4, gateways=2)
-        full.others = OthersLoad(4, 0, Clock().now())
+        full.remote_load = RemoteLoad(4, 0, Clock().now())
         placed = [await scheduler.acquire(build_job(), set()) for _ in range(4)]
         self.assertEqual(placed.count(free), 4)
         # Both are full now; half of each server is ours all the same.
@@ -175,7 +176,7 @@
         scheduler, backends = build_scheduler(4, 4, gateways=8)
         now_ms = Clock().now()
         for backend in backends:
-            backend.others = OthersLoad(6, 0, now_ms)
+            backend.remote_load = RemoteLoad(6, 0, now_ms)
         with self.assertRaises(Refusal):
             await scheduler.acquire(
                 build_job(route=build_route(target_ms=50)), set()
@@ -186,7 +187,7 @@
         scheduler, backends = build_scheduler(4, 4, gateways=8)
         now_ms = Clock().now()
         for backend in backends:
-            backend.others = OthersLoad(4, 0, now_ms)
+            backend.remote_load = RemoteLoad(4, 0, now_ms)
         await scheduler.acquire(build_job(), set())
         with self.assertRaises(Refusal):
             await scheduler.acquire(
@@ -251,7 +252,7 @@
     async def test_kept_prompt_draws_its_session(self) -> None:
         """A prompt goes where most of it has been read already."""
         scheduler, (_, keeper) = build_scheduler(8, 8)
-        keeper.kept_parts = {'a': 3000, 'b': 5000}
+        keeper.cached_parts = {'a': 3000, 'b': 5000}
         keeper.in_flight = 3
         prompt = Prompt(8000, 10, (('a', 3000), ('b', 5000)))
         job = build_job(route=_STREAM, prompt=prompt)
@@ -332,18 +333,18 @@
         clock = ManualClock(10_000)
         servers = [build_server('i-0'), build_server('i-1')]
         backends = Backends(clock, NAMES.request_id, grace_ms=1000)
-        backends.keep_only(servers)
+        backends.replace_all(servers)
         scheduler = Scheduler(
             backends, ZONE, clock, lambda: 1, build_promises()
         )
-        backends.keep_only([])
+        backends.replace_all([])
         placed = await scheduler.acquire(build_job(), set())
         self.assertIn(placed.server.id, {'i-0', 'i-1'})
-        backends.take(servers[1:], [])
+        backends.update(servers[1:], [])
         for _ in range(4):
             placed = await scheduler.acquire(build_job(), set())
             self.assertEqual(placed.server.id, 'i-1')
-        backends.keep_only([])
+        backends.replace_all([])
         clock.advance(1001)
         with self.assertRaises(Refusal):
             await scheduler.acquire(
@@ -354,9 +355,9 @@
         """A row that goes after `leaving` is gone for good."""
         clock = ManualClock(10_000)
         backends = Backends(clock, NAMES.request_id, grace_ms=1000)
-        backends.keep_only([build_server('i-0', is_draining=True)])
-        backends.keep_only([])
-        self.assertEqual(backends.of_pool('llm'), [])
+        backends.replace_all([build_server('i-0', is_draining=True)])
+        backends.replace_all([])
+        self.assertEqual(backends.in_pool('llm'), [])
 
 
 class NoticesTest(unittest.IsolatedAsyncioTestCase):
@@ -366,7 +367,7 @@
         """Give a scheduler before servers that may leave for 1.4 s."""
         self.clock = ManualClock(1000)
         backends = Backends(self.clock, NAMES.request_id, _GRACE_MS)
-        backends.take(
+        backends.update(
             [
                 build_server(f'i-{number}', slots=size)
                 for number, size in enumerate(slots)
--- a/seampond/forwarding/tests/test_signal_state.py
+++ b/seampond/forwarding/tests/test_signal_state.py
@@ -34,7 +34,7 @@
         self.clock = ManualClock(_NOW_MS)
         self.row = build_server('i-1', started_ms=100)
         self.backends = Backends(self.clock, NAMES.request_id, _GRACE_MS)
-        self.backends.take([self.row], [])
+        self.backends.update([self.row], [])
 
     @property
     def backend(self) -> Backend:
@@ -54,9 +54,9 @@
         self.say(_LEAVES)
         self.clock.advance(_GRACE_MS)
         for row in (self.row, replace(self.row, started_ms=0)):
-            self.backends.take([row], [])
+            self.backends.update([row], [])
             self.check_used(expected=False)
-            self.backends.keep_only([row])
+            self.backends.replace_all([row])
             self.check_used(expected=False)
         self.assertFalse(self.backend.takes_work)
 
@@ -73,27 +73,27 @@
     def test_a_row_that_says_the_same_ends_it(self) -> None:
         """The store's word binds from then on."""
         self.say(_LEAVES)
-        self.backends.take([replace(self.row, is_draining=True)], [])
+        self.backends.update([replace(self.row, is_draining=True)], [])
         self.check_used(expected=False)
 
     def test_a_row_that_was_gone_brings_no_leave_back(self) -> None:
         """What else is believed of the server is forgotten meanwhile."""
         self.say(_LEAVES)
         self.clock.advance(_GRACE_MS)
-        self.backends.take([], ['i-1'])
+        self.backends.update([], ['i-1'])
         self.assertIsNone(self.backends.get('i-1'))
-        self.backends.take([self.row], [])
+        self.backends.update([self.row], [])
         self.check_used(expected=False)
 
     def test_a_server_that_said_so_is_no_fallback(self) -> None:
         """Its row goes in silence: before its word, or after it."""
         self.backend.in_flight = 1
-        self.backends.take([], ['i-1'])
+        self.backends.update([], ['i-1'])
         self.assertTrue(self.backend.may_send(_NOW_MS))
         self.say(_LEAVES)
         self.assertFalse(self.backend.may_send(_NOW_MS))
-        self.backends.take([self.row], [])
-        self.backends.take([], ['i-1'])
+        self.backends.update([self.row], [])
+        self.backends.update([], ['i-1'])
         self.assertFalse(self.backend.may_send(_NOW_MS))
 
     def test_the_next_life_has_said_nothing(self) -> None:
@@ -101,27 +101,27 @@
         self.say(_LEAVES)
         self.say(_RESTS)
         earlier = self.backend
-        self.backends.take([replace(self.row, started_ms=200)], [])
+        self.backends.update([replace(self.row, started_ms=200)], [])
         self.check_used(expected=True)
         self.backends.apply_signals(earlier, _LEAVES, 0)
-        self.backends.take([], ['i-1'])
-        self.backends.take([replace(self.row, started_ms=200)], [])
+        self.backends.update([], ['i-1'])
+        self.backends.update([replace(self.row, started_ms=200)], [])
         self.check_used(expected=True)
 
     def test_a_start_that_is_told_later(self) -> None:
         """It belongs to the life that has spoken; one after it does not."""
         self.backends = build_backends([build_server('i-1')], self.clock)
         self.say(_LEAVES)
-        self.backends.take([self.row], [])
+        self.backends.update([self.row], [])
         self.check_used(expected=False)
-        self.backends.take([replace(self.row, started_ms=200)], [])
+        self.backends.update([replace(self.row, started_ms=200)], [])
         self.check_used(expected=True)
 
     def test_rest_is_over_after_its_time(self) -> None:
         """Not sooner by a row, nor by a row that was gone."""
         self.say(_RESTS)
-        self.backends.take([], ['i-1'])
-        self.backends.take([self.row], [])
+        self.backends.update([], ['i-1'])
+        self.backends.update([self.row], [])
         self.check_used(expected=False)
         self.clock.advance(2999)
         self.check_used(expected=False)
@@ -132,7 +132,7 @@
     def test_good_answers_do_not_end_a_rest(self) -> None:
         """They are of requests that were there before."""
         self.say(_RESTS)
-        self.backend.note_success()
+        self.backend.record_success()
         self.backend.signals.record_answer(_NOW_MS)
         self.check_used(expected=False)
         self.assertTrue(self.backend.signals.needs_probe)
@@ -149,7 +149,7 @@
         """Until it has ended, no other goes there."""
         self.say(_RESTS)
         self.clock.advance(3000)
-        self.backend.note_place()
+        self.backend.record_dispatch()
         self.check_used(expected=False)
         self.backend.signals.record_answer(self.clock.now())
         self.check_used(expected=True)
@@ -159,7 +159,7 @@
         with patch.object(signal_state, '_KEPT_MAX', 2):
             for number in range(1, 5):
                 server = build_server(f'i-{number}')
-                self.backends.take([server], [])
+                self.backends.update([server], [])
                 backend = pick(self.backends, server.id)
                 self.backends.apply_signals(backend, _LEAVES, 0)
         kept = self.backends._signals._by_id  # noqa: SLF001
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -10,7 +10,7 @@
 from seampond.clock import Clock
 from seampond.forwarding.admission import ConfigurationState
 from seampond.forwarding.app import GatewayApp
-from seampond.forwarding.backend import OthersLoad
+from seampond.forwarding.backend import RemoteLoad
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.retries import RetryBudget
 from seampond.forwarding.scheduler import Scheduler
@@ -123,9 +123,9 @@
             if proof is not None:
                 currency.take_proof(proof)
         now_ms = self.clock.now()
-        self.backends.take_others(
+        self.backends.update_remote_loads(
             {
-                server: OthersLoad(load.running, load.unread, now_ms)
+                server: RemoteLoad(load.running, load.unread, now_ms)
                 for server, load in self.peers.loads.take_changed().items()
             }
         )
@@ -209,7 +209,7 @@
     def _loads(self) -> dict[int, Load]:
         return {
             hash_name(backend.server.incarnation): Load(
-                backend.in_flight, backend.own_unread
+                backend.in_flight, backend.own_pending_tokens
             )
             for backend in self.backends
             if backend.in_flight
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -103,10 +103,10 @@
                 unreadable.append(row.key)
                 self._log_refused(row.key, error)
         if page.is_whole:
-            self._backends.keep_only(servers, unreadable)
+            self._backends.replace_all(servers, unreadable)
         else:
-            self._backends.take(servers, gone)
-        self._backends.suspend(unreadable)
+            self._backends.update(servers, gone)
+        self._backends.mark_unreadable(unreadable)
         self.is_loaded = True
         self._scheduler.process_queues()
 
--- a/seampond/gateway/status.py
+++ b/seampond/gateway/status.py
@@ -20,7 +20,7 @@
             'load': backend.load(now_ms),
             'gap_ms': round(backend.speed.gap_ms, 1),
             'service_ms': round(backend.speed.service_ms, 1),
-            'failures': backend.failures,
+            'failures': backend.consecutive_failures,
         }
         for backend in components.backends
     ]
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -45,18 +45,18 @@
         rollouts = RolloutManager(
             ExposureLimits(0.1, 50),
             lambda: 1,
-            backends.all_of_pool,
+            backends.all_in_pool,
             lambda pool: True,
             list,
             hash_name,
         )
         rollouts.take_orders([build_order()], [], 1000, is_start=False)
         earlier = pick(backends, 'i-1')
-        earlier.note_place()
+        earlier.record_dispatch()
         self.assertEqual(rollouts.count_open_old(POOL), 1)
         later = replace(first, version=version, started_ms=200)
-        backends.take([later], [])
-        earlier.note_release()
+        backends.update([later], [])
+        earlier.record_release()
         return rollouts.count_open_old(POOL)
 
     def test_work_of_an_earlier_life_is_not_open(self) -> None:
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -36,7 +36,7 @@
         self, job: Job, known: Sequence[Backend]
     ) -> Sequence[Sequence[Backend]]:
         """Give the servers to look at, those that come first before others."""
-        is_fresh = not (job.attempts or job.has_begun or job.last_event)
+        is_fresh = not (job.attempts or job.has_streamed or job.last_event)
         draw = self.rng.random() if is_fresh else None
         return self.rollouts.group(job.pool, known, self.clock.now(), draw)
 
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -88,7 +88,7 @@
     return RolloutManager(
         make_exposure_limits(bounds),
         lambda: peers.count if peers.is_listed else 0,
-        backends.all_of_pool,
+        backends.all_in_pool,
         has_pool,
         list_reports,
         hash_name,
@@ -153,12 +153,12 @@
     permit_manager = PermitManager(
         peers,
         clock,
-        backends.take_limit,
+        backends.apply_limit_report,
         is_heartbeat_due.set,
         random.Random(),
         lambda outcome: metrics.permits.labels(outcome).inc(),
     )
-    backends.note_limit = permit_manager.note_heard
+    backends.on_limit = permit_manager.note_heard
     scheduler = Scheduler(
         backends,
         settings.zone,
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -41,17 +41,17 @@
         self.sequence = 0
         self.hear_all()
         self.backends = Backends(clock, NAMES.request_id, hash_name=hash_name)
-        self.backends.keep_only([build_server('i-1', started_ms=7)])
+        self.backends.replace_all([build_server('i-1', started_ms=7)])
         self.counted: list[str] = []
         self.permit_manager = PermitManager(
             self.peers,
             clock,
-            self.backends.take_limit,
+            self.backends.apply_limit_report,
             lambda: None,
             random.Random(1),
             self.counted.append,
         )
-        self.backends.note_limit = self.permit_manager.note_heard
+        self.backends.on_limit = self.permit_manager.note_heard
         self.sent: list[tuple[str, PermitRequest | PermitReply]] = []
         self.permit_manager.send = lambda *sent: self.sent.append(sent)
 
@@ -240,7 +240,7 @@
 
     def test_server_that_the_owner_does_not_know(self) -> None:
         """Its row comes later; the permits count from the first question."""
-        self.owner.backends.keep_only([])
+        self.owner.backends.replace_all([])
         for _ in range(2):
             self.asker.permit_manager.ask(self.asker.backend, 0)
             self.exchange()
--- a/seampond/quarantine/quarantine.py
+++ b/seampond/quarantine/quarantine.py
@@ -106,10 +106,10 @@
             raise Refusal(
                 Cause.not_ready, step=_STEP, retry_after_ms=_NOT_READY_MS
             )
-        job.strikes = self.suspects.count_strikes(job.fingerprint)
+        job.crash_count = self.suspects.count_strikes(job.fingerprint)
         is_under_way = self._open[job.fingerprint] > 0
-        job.is_unproved_copy = is_under_way and not self.suspects.was_good(
-            job.fingerprint
+        job.is_concurrent_duplicate = (
+            is_under_way and not self.suspects.was_good(job.fingerprint)
         )
         if self.may_send(job):
             return
--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -31,7 +31,7 @@
     ('take a heartbeat', 'datagram_received'),
     ('of it: decode', 'heartbeats.py:decode'),
     ('of it: quotas', 'quotas.py:take_heartbeat'),
-    ('of it: loads', 'take_others'),
+    ('of it: loads', 'update_remote_loads'),
     ('of it: sum of loads', 'loads.py:replace'),
     ('make a heartbeat', 'parts.py:make_heartbeat'),
     ('encode it', 'heartbeats.py:encode'),
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -117,8 +117,8 @@
         'pool': POOL,
         'priority': route.priority,
         'arrived_ms': now_ms,
-        'patience_ms': route.timeout_ms,
-        'end_ms': now_ms + route.timeout_ms,
+        'max_wait_ms': route.timeout_ms,
+        'deadline_ms': now_ms + route.timeout_ms,
         'prompt': Prompt(),
     }
     return Job(**(content | changes))
@@ -141,7 +141,7 @@
 ) -> Backends:
     """Give a list of servers."""
     backends = Backends(clock or Clock(), NAMES.request_id)
-    backends.keep_only(servers)
+    backends.replace_all(servers)
     return backends
 
 
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -131,12 +131,12 @@
         self.permit_manager = PermitManager(
             self.peers,
             fleet.clock,
-            self.backends.take_limit,
+            self.backends.apply_limit_report,
             self.is_urgent.set,
             fleet.rng,
         )
         self.permit_manager.send = self._send_permit
-        self.backends.note_limit = self.permit_manager.note_heard
+        self.backends.on_limit = self.permit_manager.note_heard
         permits: Permits = self.permit_manager
         if fleet.make_permits is not None:
             permits = fleet.make_permits(self.peers, fleet.clock, self.backends)
@@ -152,7 +152,7 @@
         self.scheduler.availability.permits = permits
         self.scheduler._rng = fleet.rng  # noqa: SLF001
         self.permit_manager.note_reply = self.scheduler.process_queues
-        self.backends.keep_only(
+        self.backends.replace_all(
             build_server(server.id, slots=_SLOTS) for server in fleet.servers
         )
         self._sequence = 0
