--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -178,7 +178,9 @@
 
         """
         if job.tenant is not None and not self.is_proved:
-            raise Refusal(Cause.stale, step='proof', retry_after_ms=_STALE_MS)
+            raise Refusal(
+                Cause.unproved, step='proof', retry_after_ms=_STALE_MS
+            )
 
     def admit(self, arrival: Arrival, body: bytes) -> Job:
         """Make the job of a request that the configuration allows.
--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -269,7 +269,7 @@
             len(name) + len(text) for name, text in self._arrival.headers
         )
         if header_bytes > limits.header_bytes:
-            raise Refusal(Cause.header_size, step='read')
+            raise Refusal(Cause.header_too_large, step='read')
         parts: list[bytes] = []
         size = 0
         while True:
@@ -277,7 +277,7 @@
             part = message.get('body', b'')
             size += len(part)
             if size > limits.body_bytes:
-                raise Refusal(Cause.body_size, step='read')
+                raise Refusal(Cause.body_too_large, step='read')
             parts.append(part)
             if not message.get('more_body'):
                 break
@@ -294,13 +294,13 @@
             async with asyncio.timeout(idle_ms / MS_PER_SECOND):
                 message = await receive()
         except TimeoutError as error:
-            raise Refusal(Cause.slow_body, step='read') from error
+            raise Refusal(Cause.body_too_slow, step='read') from error
         if message['type'] == _DISCONNECT:
             raise CallerDisconnected
         return message
 
     async def _refuse(self, refusal: Refusal) -> None:
-        if refusal.says_not_run and self._progress is not None:
+        if refusal.guarantees_not_run and self._progress is not None:
             self._web.promises.check(
                 Rule.true_not_run,
                 not self._progress.job.may_have_run,
@@ -314,7 +314,7 @@
         if refusal.retry_after_ms:
             seconds = refusal.retry_after_ms / MS_PER_SECOND
             headers.append((b'retry-after', b'%.3f' % seconds))
-        if refusal.ends_connection:
+        if refusal.closes_connection:
             headers.append(_CLOSE)
         self._web.metrics.refusals.labels(refusal.cause.value).inc()
         await self._start(refusal.status, headers)
@@ -323,7 +323,7 @@
     def _tell(self, outcome: str) -> None:
         progress, web = self._progress, self._web
         route = progress.job.route.name if progress else ''
-        trail = progress.trail if progress else []
+        attempt_records = progress.attempt_records if progress else []
         web.metrics.requests.labels(route, str(self._status)).inc()
         request = self._arrival.get(web.admission.id_header)
         level = logging.INFO
@@ -340,7 +340,7 @@
                 'version': web.admission.version,
                 'proof_age_ms': web.admission.proof_age_ms,
                 'waiting': web.forwarder.waiting,
-                'tried': [one.describe() for one in trail],
+                'tried': [one.describe() for one in attempt_records],
             }
             | _describe_job(progress),
         )
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -10,7 +10,12 @@
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.connection import Connection
 from seampond.forwarding.models import HeaderNames
-from seampond.forwarding.progress import Answer, Outcome, Progress, Try
+from seampond.forwarding.progress import (
+    AttemptRecord,
+    BufferedAnswer,
+    Outcome,
+    Progress,
+)
 from seampond.forwarding.request_encoding import encode_request
 from seampond.forwarding.response_head import (
     ExchangeError,
@@ -40,7 +45,7 @@
 
     Parameters
     ----------
-    tried : Try
+    record : AttemptRecord
         What the log is told of it.
 
     """
@@ -54,7 +59,7 @@
     quarantine: Quarantine
     sent_ms: int = 0
     part_ms: int = 0
-    tried: Try = field(init=False)
+    record: AttemptRecord = field(init=False)
 
     async def run(self) -> Outcome:
         """Send the request and pass the answer on."""
@@ -62,14 +67,14 @@
         now_ms = self.clock.now()
         pool = self.backends.pool_speed(job.pool)
         load = backend.load(now_ms)
-        self.tried = Try(
+        self.record = AttemptRecord(
             backend.server.id,
             load - 1,
             pool.pace(backend.speed),
             round(expect_first_ms(backend, job, pool, now_ms, load)),
             version=backend.server.version,
         )
-        self.progress.trail.append(self.tried)
+        self.progress.attempt_records.append(self.record)
         backend.unanswered[job.request_id] = (
             now_ms,
             count_pending_tokens(backend, job),
@@ -85,14 +90,14 @@
             self._note_end(now_ms)
         # However it ended, the server had no new wish for rest.
         backend.signals.record_answer(self.sent_ms)
-        self.tried.outcome = outcome.value
+        self.record.outcome = outcome.value
         return outcome
 
     def _note_end(self, since_ms: int) -> None:
         """Note that the server is asked no more, however that came."""
-        self.tried.took_ms = self.clock.now() - since_ms
+        self.record.duration_ms = self.clock.now() - since_ms
         self.backend.unanswered.pop(self.progress.job.request_id, None)
-        self.progress.tried.add(self.backend.server.id)
+        self.progress.tried_servers.add(self.backend.server.id)
 
     async def _run(self) -> Outcome:
         try:
@@ -104,7 +109,7 @@
             # it has asked for rest or named a limit, or a server has ended
             # under another copy of the request.
             self.backends.release_connection(self.backend, connection, None)
-            return Outcome.unreached
+            return Outcome.unreachable
         keep_alive_ms: int | None = None
         try:
             self._send(connection)
@@ -185,7 +190,7 @@
             self._note_rejection(head)
             return Outcome.rejected
         self._check_stamp(head)
-        outcome = Outcome.whole
+        outcome = Outcome.complete
         if job.is_stream and head.status == HTTPStatus.OK:
             await self._relay_stream(connection, head)
         else:
@@ -199,7 +204,7 @@
         body = await connection.read_body(_WHOLE_MAX_BYTES)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.backend.record_failure(self.clock.now(), _ERRORS_IN_A_ROW)
-            self.progress.kept = Answer(head, body)
+            self.progress.fallback_answer = BufferedAnswer(head, body)
             return Outcome.failed
         sink = self.progress.sink
         if sink.has_started:
@@ -208,7 +213,7 @@
         await sink.start(head, len(body))
         await sink.send(body)
         await sink.finish()
-        return Outcome.whole
+        return Outcome.complete
 
     async def _relay_stream(
         self, connection: Connection, head: ResponseHead
@@ -238,16 +243,16 @@
         """Learn from the first byte of a sound answer."""
         job, backend = self.progress.job, self.backend
         backend.unanswered.pop(job.request_id, None)
-        self.tried.first_ms = self.clock.now() - self.sent_ms
+        self.record.first_byte_ms = self.clock.now() - self.sent_ms
         backend.record_success()
         backend.signals.record_answer(self.sent_ms)
         if job.is_stream:
             record_cached(backend, job)
             pool = self.backends.pool_speed(job.pool)
-            expected_ms = self.tried.expected_ms / pool.first_factor
-            pool.note_first(self.tried.first_ms, expected_ms)
+            expected_ms = self.record.expected_first_byte_ms / pool.first_factor
+            pool.note_first(self.record.first_byte_ms, expected_ms)
         else:
-            backend.speed.note_service(self.tried.first_ms)
+            backend.speed.note_service(self.record.first_byte_ms)
             self.backends.refresh_pool_speed(job.pool)
 
     def _note_part(self, parts: int) -> None:
@@ -257,20 +262,22 @@
             self._note_first()
         else:
             pause_ms = now_ms - self.part_ms
-            self.tried.pause_ms = max(self.tried.pause_ms, pause_ms)
+            self.record.longest_gap_ms = max(
+                self.record.longest_gap_ms, pause_ms
+            )
         self.part_ms = now_ms
         if parts >= _PARTS_TO_LEARN:
-            took_ms = now_ms - self.sent_ms - self.tried.first_ms
-            self.tried.gap_ms = took_ms / (parts - 1)
+            took_ms = now_ms - self.sent_ms - self.record.first_byte_ms
+            self.record.mean_gap_ms = took_ms / (parts - 1)
         if parts % _PARTS_TO_LEARN:
             return
-        self.backend.speed.note_gap(self.tried.gap_ms)
+        self.backend.speed.note_gap(self.record.mean_gap_ms)
         self.backends.refresh_pool_speed(self.progress.job.pool)
 
     def _note_stream(self, parts: int) -> None:
         """Learn from a whole stream."""
         job = self.progress.job
-        self.backend.speed.note_pause(self.tried.pause_ms)
+        self.backend.speed.note_pause(self.record.longest_gap_ms)
         if job.attempts == 1:
             pool = self.backends.pool_speed(job.pool)
             pool.note_whole(job.prompt.answer_tokens, parts)
@@ -335,4 +342,4 @@
                 'failures': backend.consecutive_failures,
             },
         )
-        return Outcome.in_doubt if error.was_sent else Outcome.unreached
+        return Outcome.in_doubt if error.was_sent else Outcome.unreachable
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -192,7 +192,7 @@
         """
         limit = backend.signals.limit
         before = limit.rate
-        self._signals.take(
+        self._signals.apply(
             backend.server, backend.signals, reported, self.grace_ms, sent_ms
         )
         if limit.said_ms == sent_ms:
@@ -216,7 +216,7 @@
         if backend is None:
             return None
         signals = backend.signals
-        self._signals.take_limit(backend.server, signals, rate, said_ms)
+        self._signals.apply_limit(backend.server, signals, rate, said_ms)
         return signals.limit
 
     async def acquire_connection(self, backend: Backend) -> Connection:
@@ -255,8 +255,8 @@
 
     def _add(self, server: Server) -> None:
         told = self._told.get(self._hash_name(server.incarnation))
-        signals = self._signals.of(server)
-        self._signals.take_row(server, signals)
+        signals = self._signals.state_of(server)
+        self._signals.apply_row(server, signals)
         self._by_id[server.id] = Backend(
             server,
             signals,
@@ -276,7 +276,7 @@
                 self._tell('server leaves', server)
             backend.server = replace(server, started_ms=told_ms)
             backend.signals.started_ms = told_ms
-            self._signals.take_row(server, backend.signals)
+            self._signals.apply_row(server, backend.signals)
             backend.is_listed = True
             backend.is_readable = True
         # Else a row of an earlier life has come late.
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -82,7 +82,7 @@
 
         """
         job = progress.job
-        self._parts.budget.note_fresh(job.pool)
+        self._parts.budget.record_first_attempt(job.pool)
         progress.splitter.last_id = job.last_event
         left_ms = max(0, job.deadline_ms - self._clock.now())
         try:
@@ -98,13 +98,13 @@
         scheduler = self._parts.scheduler
         while True:
             self._parts.quarantine.check(job)
-            backend = await scheduler.acquire(job, progress.tried)
+            backend = await scheduler.acquire(job, progress.tried_servers)
             try:
                 outcome = await self._attempt(progress, backend)
             finally:
                 scheduler.release(backend)
             self._parts.metrics.attempts.labels(outcome.value).inc()
-            if outcome is Outcome.whole:
+            if outcome is Outcome.complete:
                 return
             if not self._may_try_again(progress, outcome):
                 raise Refusal(
@@ -132,25 +132,27 @@
             finally:
                 # Also of one that was given up: its server may have been mute.
                 parts.versions.record_attempt(
-                    progress.job, backend, attempt.tried
+                    progress.job, backend, attempt.record
                 )
 
     def _may_try_again(self, progress: Progress, outcome: Outcome) -> bool:
         job = progress.job
         if job.deadline_ms - self._clock.now() < _MIN_LEFT_MS:
             return False
-        if outcome is Outcome.unreached:
-            progress.unreached += 1
-            return progress.unreached < _UNREACHED_MAX
+        if outcome is Outcome.unreachable:
+            progress.unreached_count += 1
+            return progress.unreached_count < _UNREACHED_MAX
         if outcome is not Outcome.rejected and not job.route.may_repeat:
             return False
         if job.attempts >= job.route.attempts:
             return False
-        return self._parts.budget.take(job.pool, is_resumed=job.has_streamed)
+        return self._parts.budget.try_acquire(
+            job.pool, is_resumed=job.has_streamed
+        )
 
     async def _give_up(self, progress: Progress, refusal: Refusal) -> None:
         """Give the final answer: the server's own failure, or ours."""
-        sink, kept = progress.sink, progress.kept
+        sink, kept = progress.sink, progress.fallback_answer
         if sink.has_started:
             raise AbortedResponseError(refusal.cause.value)
         if kept is not None:
@@ -166,7 +168,7 @@
         if job.may_have_run:
             return Refusal(Cause.timeout, step=_STEP)
         return Refusal(
-            Cause.waited,
+            Cause.waited_too_long,
             step=_STEP,
             retry_after_ms=self._parts.scheduler.retry_after_ms(job),
         )
--- a/seampond/forwarding/progress.py
+++ b/seampond/forwarding/progress.py
@@ -28,15 +28,15 @@
 class Outcome(enum.Enum):
     """How one attempt ended; the value is the label of the counter."""
 
-    whole = 'whole'
-    unreached = 'unreached'
+    complete = 'whole'
+    unreachable = 'unreached'
     rejected = 'rejected'
     failed = 'failed'
     in_doubt = 'in-doubt'
 
 
 @dataclass(slots=True)
-class Answer:
+class BufferedAnswer:
     """A whole answer that is kept in case no better one comes."""
 
     head: ResponseHead
@@ -44,23 +44,23 @@
 
 
 @dataclass(slots=True)
-class Try:
+class AttemptRecord:
     """What one send was decided by and how it went, for the log.
 
     Parameters
     ----------
     load : int
         What the server was thought to hold beside this request.
-    pace : float
+    slowdown : float
         How slow the server was thought to be.
-    expected_ms, first_ms : int
+    expected_first_byte_ms, first_byte_ms : int
         From the send to the first byte, as it was expected and as it was;
         -1 if none came.
-    pause_ms : int
+    longest_gap_ms : int
         The longest pause between two parts of the answer.
-    gap_ms : float
+    mean_gap_ms : float
         The mean time between two parts, 0 where few have come.
-    took_ms : int
+    duration_ms : int
         From the send to the end, however it ended.
     version : str
         The version of the server's software.
@@ -69,12 +69,12 @@
 
     server: str
     load: int
-    pace: float
-    expected_ms: int
-    first_ms: int = -1
-    pause_ms: int = 0
-    gap_ms: float = 0
-    took_ms: int = 0
+    slowdown: float
+    expected_first_byte_ms: int
+    first_byte_ms: int = -1
+    longest_gap_ms: int = 0
+    mean_gap_ms: float = 0
+    duration_ms: int = 0
     version: str = ''
     outcome: str = 'open'
 
@@ -83,10 +83,10 @@
         told: dict[str, object] = {
             'server': self.server,
             'load': self.load,
-            'pace': round(self.pace, 2),
-            'expected_ms': self.expected_ms,
-            'first_ms': self.first_ms,
-            'pause_ms': self.pause_ms,
+            'pace': round(self.slowdown, 2),
+            'expected_ms': self.expected_first_byte_ms,
+            'first_ms': self.first_byte_ms,
+            'pause_ms': self.longest_gap_ms,
             'outcome': self.outcome,
         }
         if self.version:
@@ -100,11 +100,11 @@
 
     Parameters
     ----------
-    tried : set[str]
+    tried_servers : set[str]
         The servers that it was sent to.
-    trail : list[Try]
+    attempt_records : list[AttemptRecord]
         What was tried, for the log.
-    kept : Answer or None
+    fallback_answer : BufferedAnswer or None
         A server's failure, passed on if nothing better comes.
 
     """
@@ -112,7 +112,7 @@
     job: Job
     sink: Sink
     splitter: EventSplitter = field(default_factory=EventSplitter)
-    tried: set[str] = field(default_factory=set)
-    trail: list[Try] = field(default_factory=list)
-    unreached: int = 0
-    kept: Answer | None = None
+    tried_servers: set[str] = field(default_factory=set)
+    attempt_records: list[AttemptRecord] = field(default_factory=list)
+    unreached_count: int = 0
+    fallback_answer: BufferedAnswer | None = None
--- a/seampond/forwarding/refusals.py
+++ b/seampond/forwarding/refusals.py
@@ -11,21 +11,21 @@
     """Each cause; the value is the label of the counter."""
 
     not_ready = 'not-ready'
-    stale = 'configuration-unproved'
+    unproved = 'configuration-unproved'
     outdated = 'configuration-outdated'
     stopping = 'stopping'
     no_route = 'no-route'
     wrong_key = 'wrong-key'
     over_quota = 'over-quota'
-    header_size = 'header-too-large'
-    body_size = 'body-too-large'
-    slow_body = 'body-too-slow'
+    header_too_large = 'header-too-large'
+    body_too_large = 'body-too-large'
+    body_too_slow = 'body-too-slow'
     no_memory = 'no-memory'
     no_server = 'no-server'
     overload = 'overload'
-    resting = 'servers-resting'
-    limited = 'servers-limited'
-    waited = 'waited-too-long'
+    servers_backing_off = 'servers-resting'
+    servers_limited = 'servers-limited'
+    waited_too_long = 'waited-too-long'
     not_run = 'not-run'
     quarantined = 'quarantined'
     in_doubt = 'in-doubt'
@@ -38,9 +38,9 @@
     (Cause.no_route, HTTPStatus.NOT_FOUND),
     (Cause.wrong_key, HTTPStatus.UNAUTHORIZED),
     (Cause.over_quota, HTTPStatus.TOO_MANY_REQUESTS),
-    (Cause.header_size, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE),
-    (Cause.body_size, HTTPStatus.REQUEST_ENTITY_TOO_LARGE),
-    (Cause.slow_body, HTTPStatus.REQUEST_TIMEOUT),
+    (Cause.header_too_large, HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE),
+    (Cause.body_too_large, HTTPStatus.REQUEST_ENTITY_TOO_LARGE),
+    (Cause.body_too_slow, HTTPStatus.REQUEST_TIMEOUT),
     (Cause.in_doubt, HTTPStatus.BAD_GATEWAY),
     (Cause.timeout, HTTPStatus.GATEWAY_TIMEOUT),
 )
@@ -52,7 +52,7 @@
     HTTPStatus.REQUEST_TIMEOUT,
 )
 # The rest of the body may still come: the connection is of no more use.
-_BODY_UNREAD = (Cause.body_size, Cause.slow_body)
+_BODY_UNREAD = (Cause.body_too_large, Cause.body_too_slow)
 
 
 class Refusal(SeampondError):
@@ -81,12 +81,12 @@
         self.retry_after_ms = retry_after_ms
 
     @property
-    def says_not_run(self) -> bool:
+    def guarantees_not_run(self) -> bool:
         """Whether the status promises that the request never ran."""
         return self.status in _NOT_RUN
 
     @property
-    def ends_connection(self) -> bool:
+    def closes_connection(self) -> bool:
         """Whether the caller's body was not read to its end."""
         return self.cause in _BODY_UNREAD
 
--- a/seampond/forwarding/retries.py
+++ b/seampond/forwarding/retries.py
@@ -34,11 +34,12 @@
     Examples
     --------
     >>> budget = RetryBudget(0.2, 10, 10_000, lambda: 2, Clock(lambda: 0))
-    >>> [budget.take('llm') for _ in range(6)].count(True)
+    >>> [budget.try_acquire('llm') for _ in range(6)].count(True)
     4
-    >>> [budget.take('api', is_resumed=False) for _ in range(6)].count(True)
+    >>> taken = [budget.try_acquire('api', is_resumed=False) for _ in 'abcdef']
+    >>> taken.count(True)
     3
-    >>> budget.take('api')
+    >>> budget.try_acquire('api')
     True
 
     """
@@ -65,11 +66,11 @@
         self._ratio = ratio
         self._allowance = allowance
 
-    def note_fresh(self, pool: str) -> None:
+    def record_first_attempt(self, pool: str) -> None:
         """Note the first send of a request."""
         self._note(self._fresh, pool)
 
-    def take(self, pool: str, *, is_resumed: bool = True) -> bool:
+    def try_acquire(self, pool: str, *, is_resumed: bool = True) -> bool:
         """Take one second send, if the budget has room for it.
 
         Parameters
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -387,7 +387,9 @@
         self._shed(queue, lambda known: known.job.priority > job.priority)
         known = self._backends.in_pool(job.pool)
         is_limited = any(one.signals.limit.is_named for one in known)
-        cause = Cause.limited if is_limited else Cause.resting
+        cause = (
+            Cause.servers_limited if is_limited else Cause.servers_backing_off
+        )
         waiter.slot.set_exception(Refusal(cause, step=_STEP))
 
     def _give_up(self, job: Job) -> Refusal:
@@ -399,5 +401,5 @@
         has_server = any(
             backend.takes_work for backend in self._backends.in_pool(job.pool)
         )
-        cause = Cause.waited if has_server else Cause.no_server
+        cause = Cause.waited_too_long if has_server else Cause.no_server
         return Refusal(cause, step=_STEP)
--- a/seampond/forwarding/signal_state.py
+++ b/seampond/forwarding/signal_state.py
@@ -81,7 +81,7 @@
         self._clock = clock
         self._by_id: dict[str, SignalState] = {}
 
-    def of(self, server: Server) -> SignalState:
+    def state_of(self, server: Server) -> SignalState:
         """Give the notice of the life that a row names."""
         kept = self._by_id.get(server.id)
         if kept is None or 0 < kept.started_ms < server.started_ms:
@@ -89,7 +89,7 @@
         kept.started_ms = kept.started_ms or server.started_ms
         return kept
 
-    def take_row(self, server: Server, signals: SignalState) -> None:
+    def apply_row(self, server: Server, signals: SignalState) -> None:
         """Take what a row says of the life that it names.
 
         Explanation
@@ -103,7 +103,7 @@
             signals.drain_until_ms = 0
             self._keep(server.id, signals)
 
-    def take(
+    def apply(
         self,
         server: Server,
         signals: SignalState,
@@ -141,11 +141,11 @@
         if reported.limit is not None:
             self._count('limit')
         if reported.is_own:
-            self.take_limit(server, signals, reported.limit, sent_ms)
+            self.apply_limit(server, signals, reported.limit, sent_ms)
         if reported.is_draining or reported.backoff_ms:
             self._keep(server.id, signals)
 
-    def take_limit(
+    def apply_limit(
         self,
         server: Server,
         signals: SignalState,
--- a/seampond/forwarding/tests/test_admission.py
+++ b/seampond/forwarding/tests/test_admission.py
@@ -45,7 +45,7 @@
         self.assertIsNone(self.admission.proof_age_ms)
         with self.assertRaises(Refusal) as caught:
             self.admission.check_proof(job)
-        self.assertIs(caught.exception.cause, Cause.stale)
+        self.assertIs(caught.exception.cause, Cause.unproved)
         self.belief.proved_ms = self.clock.now()
         self.admission.check_proof(job)
         self.clock.advance(4001)
--- a/seampond/forwarding/tests/test_availability.py
+++ b/seampond/forwarding/tests/test_availability.py
@@ -102,7 +102,7 @@
         with self.assertRaises(Refusal) as caught:
             async with asyncio.timeout(_SOON_S):
                 await task
-        self.assertIs(caught.exception.cause, Cause.limited)
+        self.assertIs(caught.exception.cause, Cause.servers_limited)
         return caught.exception
 
     async def test_limited_servers_are_no_room(self) -> None:
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -119,7 +119,7 @@
         """After a reset, once more."""
         progress, sink = await self._forward(_reset, _serve)
         self.assertEqual(sink.body, b'whole')
-        self.assertEqual(len(progress.tried), 2)
+        self.assertEqual(len(progress.tried_servers), 2)
 
     async def test_work_in_doubt_is_not_sent_again(self) -> None:
         """A reset says nothing: 502, no promise, one send."""
@@ -294,7 +294,7 @@
         )
         budget = RetryBudget(0, 5, 10_000, lambda: 1, Clock())
         for _ in range(5):
-            budget.take(POOL, is_resumed=False)
+            budget.try_acquire(POOL, is_resumed=False)
         forwarder = build_forwarder(backends, budget=budget)
         await forwarder.forward(progress)
         self.assertTrue(sink.is_whole)
@@ -322,7 +322,7 @@
             patch.object(backends, 'acquire_connection', connect_late),
             patch.object(backends, 'release_connection'),
         ):
-            self.assertIs(await attempt.run(), Outcome.unreached)
+            self.assertIs(await attempt.run(), Outcome.unreachable)
         self.assertEqual(progress.job.attempts, 0)
 
     async def _forward(
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -57,7 +57,7 @@
             await scheduler.acquire(
                 build_job(route=build_route(target_ms=100)), set()
             )
-        self.assertEqual(caught.exception.cause, Cause.waited)
+        self.assertEqual(caught.exception.cause, Cause.waited_too_long)
         self.assertGreater(caught.exception.retry_after_ms, 0)
         self.assertEqual(scheduler.waiting, 0)
 
@@ -398,7 +398,9 @@
             pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
         )
         self.assertEqual(await self.place(scheduler), 'i-1')
-        self.assertEqual(await self.place(scheduler), Cause.waited.value)
+        self.assertEqual(
+            await self.place(scheduler), Cause.waited_too_long.value
+        )
         backends.apply_signals(
             pick(backends, 'i-1'), ServerSignals(is_draining=True), 0
         )
@@ -432,7 +434,7 @@
         job = build_job(arrived_ms=self.clock.now())
         with self.assertRaises(Refusal) as caught:
             await asyncio.wait_for(scheduler.acquire(job, set()), 1)
-        self.assertEqual(caught.exception.cause, Cause.resting)
+        self.assertEqual(caught.exception.cause, Cause.servers_backing_off)
         self.assertGreaterEqual(caught.exception.retry_after_ms, 3000)
         self.assertLessEqual(caught.exception.retry_after_ms, 4000)
 
--- a/seampond/forwarding/versions.py
+++ b/seampond/forwarding/versions.py
@@ -5,7 +5,7 @@
 
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.job import Job
-from seampond.forwarding.progress import Try
+from seampond.forwarding.progress import AttemptRecord
 
 
 class VersionPolicy(Protocol):
@@ -19,7 +19,9 @@
     def record_placement(self, backend: Backend) -> None:
         """Note that a request was given a place on a server."""
 
-    def record_attempt(self, job: Job, backend: Backend, tried: Try) -> None:
+    def record_attempt(
+        self, job: Job, backend: Backend, record: AttemptRecord
+    ) -> None:
         """Note how a send to a server ended."""
 
 
@@ -35,7 +37,9 @@
     def record_placement(self, backend: Backend) -> None:
         """Learn nothing."""
 
-    def record_attempt(self, job: Job, backend: Backend, tried: Try) -> None:
+    def record_attempt(
+        self, job: Job, backend: Backend, record: AttemptRecord
+    ) -> None:
         """Learn nothing."""
 
 
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -12,7 +12,7 @@
 from seampond.clock import ManualClock
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.models import Kind, Route
-from seampond.forwarding.progress import Outcome, Try
+from seampond.forwarding.progress import AttemptRecord, Outcome
 from seampond.gateway.versions import RolloutVersions
 from seampond.rollouts import RolloutManager
 from seampond.rollouts.manager import ExposureLimits
@@ -85,10 +85,12 @@
     def answer(self, route: Route, version: str, took_ms: int) -> None:
         """Note a whole answer that has just come."""
         backend = Backend(build_server('i-1', version=version))
-        tried = Try('i-1', 0, 1, _USUAL_MS, took_ms, took_ms=took_ms)
-        tried.outcome = Outcome.whole.value
+        record = AttemptRecord(
+            'i-1', 0, 1, _USUAL_MS, took_ms, duration_ms=took_ms
+        )
+        record.outcome = Outcome.complete.value
         job = build_job(route=route, pool=POOL)
-        self.versions.record_attempt(job, backend, tried)
+        self.versions.record_attempt(job, backend, record)
 
     def count_bad(self, route: Route, *seen_ms: int) -> int:
         """Give how many answers of the new version were taken for bad."""
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -7,7 +7,7 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.job import Job
-from seampond.forwarding.progress import Outcome, Try
+from seampond.forwarding.progress import AttemptRecord, Outcome
 from seampond.gateway.stalls import EventLoopStalls
 from seampond.rollouts import RolloutManager
 from seampond.rollouts.latency import MIN_SLOWDOWN_MS, LatencySample
@@ -44,36 +44,44 @@
         """Count a request against what may be exposed."""
         self.rollouts.note_placed(backend.server.pool, backend.server.version)
 
-    def record_attempt(self, job: Job, backend: Backend, tried: Try) -> None:
+    def record_attempt(
+        self, job: Job, backend: Backend, record: AttemptRecord
+    ) -> None:
         """Count an answer as good, failed or slow."""
-        if tried.outcome == Outcome.unreached.value:
+        if record.outcome == Outcome.unreachable.value:
             return
         now_ms = self.clock.now()
-        stalled_ms = self.stalls.total_ms(now_ms - tried.took_ms, now_ms)
-        is_bad = tried.outcome in _BAD
+        stalled_ms = self.stalls.total_ms(now_ms - record.duration_ms, now_ms)
+        is_bad = record.outcome in _BAD
         # A cold server has said that it would be slow.
         is_cold = now_ms < backend.cold_until_ms
         self.rollouts.note_answer(
             backend.server.pool,
             hash_name(job.route.name),
             backend.server.version,
-            None if is_bad or is_cold else _measure(job, tried, stalled_ms),
+            None if is_bad or is_cold else _measure(job, record, stalled_ms),
             now_ms,
             is_bad=is_bad,
-            is_answer=is_bad or tried.first_ms >= 0,
+            is_answer=is_bad or record.first_byte_ms >= 0,
         )
 
 
-def _measure(job: Job, tried: Try, stalled_ms: int) -> LatencySample | None:
+def _measure(
+    job: Job, record: AttemptRecord, stalled_ms: int
+) -> LatencySample | None:
     """Give what tells best how fast an answer was.
 
     Explanation
     -----------
     What we did not see in time says nothing of the pauses of a stream.
     """
-    if job.is_stream and tried.gap_ms:
-        return None if stalled_ms else LatencySample('gap', tried.gap_ms)
+    if job.is_stream and record.mean_gap_ms:
+        return None if stalled_ms else LatencySample('gap', record.mean_gap_ms)
     kind = 'first' if job.is_stream else 'answer'
-    took_ms = tried.first_ms if tried.first_ms >= 0 else tried.took_ms
+    took_ms = (
+        record.first_byte_ms
+        if record.first_byte_ms >= 0
+        else record.duration_ms
+    )
     slower_ms = max(MIN_SLOWDOWN_MS, _NOTICED_PART * job.route.target_ms)
     return LatencySample(kind, max(0, took_ms - stalled_ms), slower_ms)
