--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -120,7 +120,7 @@
     Mechanism(
         'levels of an older gateway',
         'sharing/quotas.py',
-        'if not self._knows_levels or not self._peers.has_young:',
+        'if not self._knows_levels or not self._peers.has_newcomer:',
         'if self:',
     ),
     Mechanism(
--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -39,7 +39,7 @@
     """Charges a quota."""
 
     def __call__(
-        self, tenant: Tenant, units: float, rank: int, *, is_spare: bool
+        self, tenant: Tenant, units: float, rank: int, *, has_idle_slots: bool
     ) -> int:
         """Give 0, or the milliseconds until there may be enough."""
 
@@ -320,7 +320,10 @@
         # Where no tokens are named, little is asked: no reason to put it off.
         rank = job.route.priority if job.prompt.total else 0
         wait_ms = self._charge(
-            tenant, units, rank, is_spare=self._has_spare_capacity(job.pool)
+            tenant,
+            units,
+            rank,
+            has_idle_slots=self._has_spare_capacity(job.pool),
         )
         if wait_ms:
             raise Refusal(Cause.over_quota, step=_STEP, retry_after_ms=wait_ms)
--- a/seampond/forwarding/tests/test_admission.py
+++ b/seampond/forwarding/tests/test_admission.py
@@ -27,7 +27,7 @@
             NAMES,
             self.clock,
             4000,
-            lambda tenant, units, rank, *, is_spare: 0,
+            lambda tenant, units, rank, *, has_idle_slots: 0,
             lambda tenant, units: None,
             lambda pool: True,
         )
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -109,12 +109,12 @@
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take what another gateway has told."""
-        self.quotas.take_heartbeat(heartbeat)
+        self.quotas.apply_heartbeat(heartbeat)
         self.rollout_follower.rollouts.take_reports(
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
-        self.quarantine.take(heartbeat.ends, heartbeat.good)
-        self.permit_manager.take_told(heartbeat.limits)
+        self.quarantine.take(heartbeat.crashes, heartbeat.successes)
+        self.permit_manager.take_told(heartbeat.limit_reports)
         # Before the proofs, which ask for what is missing.
         for told in heartbeat.pages:
             self._take_page(told)
@@ -125,8 +125,8 @@
         now_ms = self.clock.now()
         self.backends.update_remote_loads(
             {
-                server: RemoteLoad(load.running, load.unread, now_ms)
-                for server, load in self.peers.loads.take_changed().items()
+                server: RemoteLoad(load.running, load.pending_tokens, now_ms)
+                for server, load in self.peers.loads.pop_changed().items()
             }
         )
 
@@ -148,24 +148,24 @@
             self.incarnation,
             sequence,
             self.web.admission.version,
-            self.quotas.tell(),
+            self.quotas.spent_by_tenant(),
             self.web.is_stopping,
             self.quotas.uptime_ms,
             self._loads(),
             proofs=self._proofs(),
-            levels=self.quotas.tell_levels(),
-            is_cut=self.is_store_unreachable,
+            levels=self.quotas.levels_for_newcomers(),
+            is_store_unreachable=self.is_store_unreachable,
             pages=tuple(self._pages),
             rollouts=self.rollout_follower.rollouts.make_reports(),
-            ends=tuple(self.quarantine.suspects.tell_ends()),
-            good=self.quarantine.suspects.tell_good(),
-            limits=self.permit_manager.tell(),
-            gives_permits=True,
+            crashes=tuple(self.quarantine.suspects.tell_ends()),
+            successes=self.quarantine.suspects.tell_good(),
+            limit_reports=self.permit_manager.tell(),
+            issues_permits=True,
         )
 
     def record_heartbeat_sent(self) -> None:
         """Note that all others were sent the heartbeat that was just made."""
-        self.quotas.note_told()
+        self.quotas.record_sent()
         self._pages.clear()
 
     def relay(self, table: str, since: int, page: Page) -> None:
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -31,8 +31,8 @@
 from seampond.sharing.transport import (
     TransportContext,
     apply_gateway_rows,
+    exchange_heartbeats,
     register,
-    share,
     unregister,
 )
 from seampond.suspension import watch_suspension
@@ -147,8 +147,8 @@
             components.freshness[table],
             pace.pause_ms,
             pace.gather_ms,
-            lambda: components.peers.stretch,
-            lambda: components.peers.follows,
+            lambda: components.peers.interval_factor,
+            lambda: components.peers.is_follower,
             pace.proves_first,
             functools.partial(components.relay, table),
         )
@@ -176,7 +176,7 @@
     )
     async with (
         open_table(settings.store.address, GATEWAYS_TABLE, clock) as table,
-        share(settings.peer_listen, sharing) as send_permit,
+        exchange_heartbeats(settings.peer_listen, sharing) as send_permit,
         run_tasks(
             register(table, components.peers, settings.peer_listen, clock)
         ),
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -38,7 +38,7 @@
     def handle_page(self, page: Page) -> None:
         """Take an answer of the store."""
         for row in page.rows:
-            if row.key == CONFIGURATION_KEY and not row.is_gone:
+            if row.key == CONFIGURATION_KEY and not row.is_deleted:
                 self._apply_row(row)
 
     def record_proof(self, proved_ms: int) -> None:
@@ -94,7 +94,7 @@
         # One answer may hold a row that went and came back: the last counts.
         latest = {row.key: row for row in page.rows}
         for row in latest.values():
-            if row.is_gone:
+            if row.is_deleted:
                 gone.append(row.key)
                 continue
             try:
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -62,7 +62,7 @@
         rows = [row for row in page.rows if is_order_row(row)]
         latest = {row.key: row for row in rows}
         orders = list(_read_all(latest.values(), parse_order))
-        gone = [pool_name(row) for row in latest.values() if row.is_gone]
+        gone = [pool_name(row) for row in latest.values() if row.is_deleted]
         if page.is_whole:
             listed = set(map(pool_name, latest.values()))
             gone.extend(set(self.rollouts.ordered) - listed)
@@ -109,7 +109,7 @@
 ) -> Iterator[tuple[str, _Read]]:
     """Read rows; one that is none is logged and passed over."""
     for row in rows:
-        if row.is_gone:
+        if row.is_deleted:
             continue
         try:
             yield pool_name(row), read(row)
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -165,8 +165,8 @@
         """The others tell it for as long as the quarantine lasts."""
         fleet, gateways = await self.open_fleet()
         first, second = (one.components for one in gateways)
-        hear = second.peers.take_heartbeat
-        with patch.object(second.peers, 'take_heartbeat', lambda told: False):
+        hear = second.peers.apply_heartbeat
+        with patch.object(second.peers, 'apply_heartbeat', lambda told: False):
             await self.drive(
                 fleet, gateways[:1], (CRASHING_BODY, 250), for_ms=7000
             )
--- a/seampond/gateway/tests/test_eras.py
+++ b/seampond/gateway/tests/test_eras.py
@@ -29,7 +29,7 @@
     async def open(self) -> RunningGateway:
         """Start the gateway; note the moment of the copy."""
         gateway = await self.start_ready()
-        await until_true(lambda: gateway.components.peers.own_version)
+        await until_true(lambda: gateway.components.peers.registration_version)
         await asyncio.sleep(0.05)
         self.copied_ms = self.store.clock.now()
         await asyncio.sleep(0.05)
@@ -105,7 +105,7 @@
         await asyncio.sleep(0.05)
         self.list_server()
         gateway = await self.start()
-        await until_true(lambda: gateway.components.peers.own_version)
+        await until_true(lambda: gateway.components.peers.registration_version)
         await self.lose()
         self.assertTrue(is_gateway_gone(self.store, 'g1'))
         await until_true(lambda: not is_gateway_gone(self.store, 'g1'), 4)
--- a/seampond/gateway/tests/test_followers.py
+++ b/seampond/gateway/tests/test_followers.py
@@ -11,7 +11,7 @@
 from seampond.watches import Page, Row
 
 
-def _row(key: str, version: int, *, is_gone: bool = False) -> Row:
+def _row(key: str, version: int, *, is_deleted: bool = False) -> Row:
     content = {
         'service': 's1',
         'address': '10.0.0.1:80',
@@ -19,8 +19,8 @@
         'slots': 2,
         'state': 'ready',
     }
-    text = b'' if is_gone else json.dumps(content).encode()
-    return Row(key, text, version, is_gone)
+    text = b'' if is_deleted else json.dumps(content).encode()
+    return Row(key, text, version, is_deleted)
 
 
 def _page(*rows: Row, is_whole: bool = False) -> Page:
@@ -41,13 +41,13 @@
 
     def test_row_that_went_and_came_back_is_there(self) -> None:
         """Changes of one row in one answer count in their order."""
-        went = _row('i-1', 2, is_gone=True)
+        went = _row('i-1', 2, is_deleted=True)
         self.follower.handle_page(_page(went, _row('i-1', 3)))
         self.assertEqual(self._listed(), ['i-1'])
 
     def test_row_that_came_and_went_is_gone(self) -> None:
         """The last word counts."""
-        went = _row('i-2', 3, is_gone=True)
+        went = _row('i-2', 3, is_deleted=True)
         self.follower.handle_page(_page(_row('i-2', 2), went))
         self.assertEqual(self._listed(), ['i-1'])
 
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -239,7 +239,7 @@
         first = await self.start_ready()
         second = await self.start(name='g2')
         peers = [gateway.components.peers for gateway in (first, second)]
-        await until_true(lambda: all(one.all_heard for one in peers))
+        await until_true(lambda: all(one.all_reachable for one in peers))
         self.assertEqual([one.count for one in peers], [2, 2])
 
     async def test_stopped_gateway_is_forgotten_at_once(self) -> None:
@@ -248,10 +248,10 @@
         peers = first.components.peers
         settings = build_settings(self.store.address, name='g2')
         async with run_gateway(settings, Clock()) as second:
-            await until_true(lambda: peers.count == 2 and peers.all_heard)
+            await until_true(lambda: peers.count == 2 and peers.all_reachable)
             known = second.components.peers
-            await until_true(lambda: known.own_version)
-        await until_true(lambda: peers.count == 1 and peers.all_heard)
+            await until_true(lambda: known.registration_version)
+        await until_true(lambda: peers.count == 1 and peers.all_reachable)
         self.assertTrue(is_gateway_gone(self.store, 'g2'))
 
     async def test_refusals_before_any_server(self) -> None:
@@ -326,7 +326,7 @@
                     hash_name('other'): proof,
                 },
             )
-            self.assertTrue(components.peers.take_heartbeat(heartbeat))
+            self.assertTrue(components.peers.apply_heartbeat(heartbeat))
             components.handle_heartbeat(heartbeat)
             is_younger = _age_ms(admission) < before_ms - 100
             self.assertEqual(is_younger, not newer)
--- a/seampond/gateway/tests/test_passing_on.py
+++ b/seampond/gateway/tests/test_passing_on.py
@@ -26,8 +26,8 @@
         peers = gateway.components.peers
         await until_true(lambda: peers.count == _OTHERS + 1)
         for name in names:
-            self.assertTrue(peers.take_heartbeat(Heartbeat(name, 1, 1)))
-        self.assertFalse(peers.follows)
+            self.assertTrue(peers.apply_heartbeat(Heartbeat(name, 1, 1)))
+        self.assertFalse(peers.is_follower)
         return gateway
 
     async def test_a_server_is_known_without_a_call(self) -> None:
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -41,7 +41,7 @@
     components = gateway.components
     return (
         components.is_ready
-        and components.peers.all_heard
+        and components.peers.all_reachable
         and components.peers.count > 1
     )
 
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -87,7 +87,7 @@
 
     return RolloutManager(
         make_exposure_limits(bounds),
-        lambda: peers.count if peers.is_listed else 0,
+        lambda: peers.count if peers.has_gateway_list else 0,
         backends.all_in_pool,
         has_pool,
         list_reports,
@@ -233,7 +233,7 @@
         metrics,
         clock,
         promises,
-        lambda: peers.has_ready,
+        lambda: peers.has_serving_peer,
     )
     return GatewayComponents(
         settings=settings,
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -66,7 +66,7 @@
     take_word : Callable[[int, float | None, int], ServerLimit | None]
         Takes what another gateway knows of a limit, by the key of the life;
         gives what holds, None for a server that is not known.
-    note_urgent : Callable[[], None]
+    request_heartbeat : Callable[[], None]
         Called where the others should hear of us at once.
     count : Callable[[str], None]
         Counts what became of asking for a permit.
@@ -85,7 +85,7 @@
         gateways: GatewayDirectory,
         clock: Clock,
         take_word: Callable[[int, float | None, int], ServerLimit | None],
-        note_urgent: Callable[[], None],
+        request_heartbeat: Callable[[], None],
         rng: random.Random,
         count: Callable[[str], None] = _count_nothing,
     ) -> None:
@@ -97,7 +97,7 @@
         self._gateways = gateways
         self._clock = clock
         self._take_word = take_word
-        self._note_urgent = note_urgent
+        self._request_heartbeat = request_heartbeat
         self._rng = rng
         self._count = count
         self._owners = Owners(gateways)
@@ -256,7 +256,7 @@
         self._heard.note(key, limit, is_other=is_other)
         self._begin(key, limit)
         if is_other:
-            self._note_urgent()
+            self._request_heartbeat()
 
     def tell(self) -> Mapping[int, LimitReport]:
         """Give what answers to us have said of late, by key of the life."""
--- a/seampond/permits/owners.py
+++ b/seampond/permits/owners.py
@@ -14,11 +14,11 @@
     name: str
 
     @property
-    def givers(self) -> tuple[str, ...]:
+    def permit_issuers(self) -> tuple[str, ...]:
         """The others that give permits."""
 
     @property
-    def is_listed(self) -> bool:
+    def has_gateway_list(self) -> bool:
         """Whether the list of the gateways is known."""
 
     @property
@@ -52,10 +52,10 @@
 
     def find(self, key: int) -> str:
         """Give the owner's name, an empty one while the list is not known."""
-        if not self._gateways.is_listed:
+        if not self._gateways.has_gateway_list:
             # We may be one of many.
             return ''
-        among = (*self._gateways.givers, self._gateways.name)
+        among = (*self._gateways.permit_issuers, self._gateways.name)
         if among != self._owned_among:
             self._owners.clear()
             self._owned_among = among
@@ -73,5 +73,7 @@
         Gateways that are silent, or know nothing of permits, may be sending.
         """
         least = max(_LEAST_RATE, rate or 0)
-        givers = len(self._gateways.givers) + 1
-        return least * givers / max(givers, self._gateways.count)
+        permit_issuers = len(self._gateways.permit_issuers) + 1
+        return (
+            least * permit_issuers / max(permit_issuers, self._gateways.count)
+        )
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.clock = clock
         self.peers = Peers(name, clock)
-        self.peers.take_rows((other, 'x:1') for other in others)
+        self.peers.apply_rows((other, 'x:1') for other in others)
         self.others = others
         self.sequence = 0
         self.hear_all()
@@ -70,11 +70,11 @@
         for other in self.others:
             self.hear(other)
 
-    def hear(self, other: str, *, gives_permits: bool = True) -> None:
+    def hear(self, other: str, *, issues_permits: bool = True) -> None:
         """Hear another gateway."""
         self.sequence += 1
-        self.peers.take_heartbeat(
-            Heartbeat(other, 1, self.sequence, gives_permits=gives_permits)
+        self.peers.apply_heartbeat(
+            Heartbeat(other, 1, self.sequence, issues_permits=issues_permits)
         )
 
     def say(self, rate: float | None) -> None:
@@ -294,8 +294,8 @@
     def test_gateway_of_an_earlier_build(self) -> None:
         """It owns nothing, and the others give their part."""
         self.advance(_SECOND_MS)
-        self.owner.hear(self.asker.peers.name, gives_permits=False)
-        self.asker.hear(self.owner.peers.name, gives_permits=False)
+        self.owner.hear(self.asker.peers.name, issues_permits=False)
+        self.asker.hear(self.owner.peers.name, issues_permits=False)
         self.clock.advance(100)
         for side in self.sides:
             while side.permit_manager.may_send(side.backend):
@@ -309,7 +309,7 @@
     def test_gateway_that_does_not_know_the_others_yet(self) -> None:
         """It may be one of many, and gives nothing."""
         alone = _Side('g3', (), self.clock)
-        alone.peers.is_listed = False
+        alone.peers.has_gateway_list = False
         alone.say(_RATE)
         self.clock.advance(_SECOND_MS)
         self.assertFalse(alone.is_owner)
@@ -318,13 +318,13 @@
         """The one before may have given until now."""
         self.assertTrue(self.owner.is_owner)
         names = [f'g{number}' for number in range(3, 20)]
-        self.owner.peers.take_rows((name, 'x:1') for name in names)
+        self.owner.peers.apply_rows((name, 'x:1') for name in names)
         for name in names:
             self.owner.hear(name)
         self.clock.advance(100)
         self.owner.permit_manager.look_after()
         self.assertFalse(self.owner.is_owner)
-        self.owner.peers.take_rows((name, '') for name in names)
+        self.owner.peers.apply_rows((name, '') for name in names)
         self.clock.advance(100)
         self.assertFalse(self.owner.is_owner)
         self.advance(_SECOND_MS)
--- a/seampond/platform/store.py
+++ b/seampond/platform/store.py
@@ -397,7 +397,7 @@
         row[names.KEY_FIELD],
         base64.b64decode(row.get('value') or ''),
         make_version(era, int(row.get('ver', 0))),
-        is_gone=bool(row.get('gone')),
+        is_deleted=bool(row.get('gone')),
     )
 
 
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -139,7 +139,7 @@
                 self.assertEqual([row.content for row in page.rows], [b'one'])
                 store.drop('t', 'a')
                 page = await table.read_changes(page.version, 1000)
-                self.assertTrue(page.rows[0].is_gone)
+                self.assertTrue(page.rows[0].is_deleted)
                 page = await table.read_changes(page.version, 10)
                 self.assertEqual(page.rows, ())
 
--- a/seampond/sharing/heartbeats.py
+++ b/seampond/sharing/heartbeats.py
@@ -28,14 +28,14 @@
 
     Parameters
     ----------
-    running, unread : int
+    running, pending_tokens : int
         Its requests there, and the prompt tokens to be read for those that
         wait for their first byte.
 
     """
 
     running: int
-    unread: int
+    pending_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
         The configuration in force there.
     uptime_ms : int
         How long this life has lasted.
-    is_gone : bool
+    has_stopped : bool
         Whether this is the last word of this life, after a planned stop.
     loads : Mapping[int, Load]
         By key of the server, what it has where it has anything.
@@ -87,20 +87,20 @@
     levels : Mapping[int, int]
         By key of the tenant, the level of its bucket in units, below zero
         for a debt; told while a gateway is there that has just started.
-    is_cut : bool
+    is_store_unreachable : bool
         Whether its calls to the store fail, so that it passes nothing on.
     pages : tuple[RelayedPage, ...]
         What it has read of the store since its last heartbeat.
     rollouts : tuple[Report, ...]
         How far it has come with the roll-outs that are carried out.
-    ends : tuple[CrashReport, ...]
+    crashes : tuple[CrashReport, ...]
         Under which requests servers have ended.
-    good : Mapping[int, int]
+    successes : Mapping[int, int]
         By fingerprint, how long ago a request got a good answer that speaks
         against such ends.
-    limits : Mapping[int, LimitReport]
+    limit_reports : Mapping[int, LimitReport]
         By key of a server's life, what it has heard of its limit.
-    gives_permits : bool
+    issues_permits : bool
         Whether it may own limits.
 
     """
@@ -113,16 +113,16 @@
     is_stopping: bool = False
     uptime_ms: int = 0
     loads: Mapping[int, Load] = field(default_factory=dict)
-    is_gone: bool = False
+    has_stopped: bool = False
     proofs: Mapping[int, FreshnessProof] = field(default_factory=dict)
     levels: Mapping[int, int] = field(default_factory=dict)
-    is_cut: bool = False
+    is_store_unreachable: bool = False
     pages: tuple[RelayedPage, ...] = ()
     rollouts: tuple[Report, ...] = ()
-    ends: tuple[CrashReport, ...] = ()
-    good: Mapping[int, int] = field(default_factory=dict)
-    limits: Mapping[int, LimitReport] = field(default_factory=dict)
-    gives_permits: bool = False
+    crashes: tuple[CrashReport, ...] = ()
+    successes: Mapping[int, int] = field(default_factory=dict)
+    limit_reports: Mapping[int, LimitReport] = field(default_factory=dict)
+    issues_permits: bool = False
 
 
 @functools.cache
@@ -152,7 +152,7 @@
         'rowKeys': [row.key for row in page.rows],
         'rowContents': [row.content for row in page.rows],
         'rowVersions': [row.version for row in page.rows],
-        'rowsGone': [row.is_gone for row in page.rows],
+        'rowsGone': [row.is_deleted for row in page.rows],
     }
 
 
@@ -164,8 +164,8 @@
         reader.rowsGone,
     )
     rows = tuple(
-        Row(key, bytes(content), version, is_gone)
-        for key, content, version, is_gone in zip(*columns, strict=True)
+        Row(key, bytes(content), version, is_deleted)
+        for key, content, version, is_deleted in zip(*columns, strict=True)
     )
     return RelayedPage(
         reader.table, reader.since, reader.version, reader.storeMs, rows
@@ -231,36 +231,36 @@
         version=heartbeat.version,
         isStopping=heartbeat.is_stopping,
         uptimeMs=heartbeat.uptime_ms,
-        isGone=heartbeat.is_gone,
+        isGone=heartbeat.has_stopped,
         spentTenants=list(spent),
         # Told whole: a part of a unit more is on the safe side.
         spentUnits=[math.ceil(max(0, units)) for units in spent.values()],
         loadServers=list(loads),
         loadRunning=[load.running for load in loads.values()],
-        loadUnread=[_fit(load.unread) for load in loads.values()],
+        loadUnread=[_fit(load.pending_tokens) for load in loads.values()],
         proofTables=list(proofs),
         proofChanged=[proof.changed for proof in proofs.values()],
         proofStoreMs=[proof.store_ms for proof in proofs.values()],
         levelTenants=list(levels),
         levelUnits=list(levels.values()),
-        isCut=heartbeat.is_cut,
+        isCut=heartbeat.is_store_unreachable,
         pages=[_describe(page) for page in heartbeat.pages],
         rollouts=[_describe_report(report) for report in heartbeat.rollouts],
-        endRequests=[end.request for end in heartbeat.ends],
-        endLives=[end.life for end in heartbeat.ends],
-        endStartedAgoMs=[_fit(end.started_ago_ms) for end in heartbeat.ends],
-        endAgoMs=[_fit(end.ended_ago_ms) for end in heartbeat.ends],
-        endsProven=[end.is_proven for end in heartbeat.ends],
-        goodRequests=list(heartbeat.good),
-        goodAgoMs=[_fit(ago_ms) for ago_ms in heartbeat.good.values()],
-        limitLives=list(heartbeat.limits),
+        endRequests=[end.request for end in heartbeat.crashes],
+        endLives=[end.life for end in heartbeat.crashes],
+        endStartedAgoMs=[_fit(end.started_ago_ms) for end in heartbeat.crashes],
+        endAgoMs=[_fit(end.ended_ago_ms) for end in heartbeat.crashes],
+        endsProven=[end.is_proven for end in heartbeat.crashes],
+        goodRequests=list(heartbeat.successes),
+        goodAgoMs=[_fit(ago_ms) for ago_ms in heartbeat.successes.values()],
+        limitLives=list(heartbeat.limit_reports),
         limitRates=[
-            encode_rate(word.rate) for word in heartbeat.limits.values()
+            encode_rate(word.rate) for word in heartbeat.limit_reports.values()
         ],
         limitSaidAgoMs=[
-            _fit(word.said_ago_ms) for word in heartbeat.limits.values()
+            _fit(word.said_ago_ms) for word in heartbeat.limit_reports.values()
         ],
-        givesPermits=heartbeat.gives_permits,
+        givesPermits=heartbeat.issues_permits,
     )
     packed: bytes = message.to_bytes_packed()
     return packed
--- a/seampond/sharing/loads.py
+++ b/seampond/sharing/loads.py
@@ -20,9 +20,9 @@
     >>> sums = LoadTotals()
     >>> sums.replace({}, {7: Load(2, 500)})
     >>> sums.replace({7: Load(2, 500)}, {7: Load(1, 0), 8: Load(1, 90)})
-    >>> sorted(sums.take_changed().items())
-    [(7, Load(running=1, unread=0)), (8, Load(running=1, unread=90))]
-    >>> sums.take_changed()
+    >>> sorted(sums.pop_changed().items())
+    [(7, Load(running=1, pending_tokens=0)), (8, Load(running=1, pending_tokens=90))]
+    >>> sums.pop_changed()
     {}
 
     """
@@ -37,12 +37,12 @@
     ) -> None:
         """Put what one gateway tells now in the place of its last word."""
         for server, load in before.items():
-            self._add(server, -load.running, -load.unread)
+            self._add(server, -load.running, -load.pending_tokens)
         for server, load in after.items():
-            self._add(server, load.running, load.unread)
+            self._add(server, load.running, load.pending_tokens)
         self._changed.update(before, after)
 
-    def take_changed(self) -> dict[int, Load]:
+    def pop_changed(self) -> dict[int, Load]:
         """Give the sums that somebody has told anew since the last call."""
         changed = {
             server: self._by_server.get(server, _NOTHING)
@@ -51,9 +51,11 @@
         self._changed.clear()
         return changed
 
-    def _add(self, server: int, running: int, unread: int) -> None:
+    def _add(self, server: int, running: int, pending_tokens: int) -> None:
         known = self._by_server.get(server, _NOTHING)
-        load = Load(known.running + running, known.unread + unread)
+        load = Load(
+            known.running + running, known.pending_tokens + pending_tokens
+        )
         if load == _NOTHING:
             self._by_server.pop(server, None)
         else:
--- a/seampond/sharing/peers.py
+++ b/seampond/sharing/peers.py
@@ -60,9 +60,9 @@
     counted: Mapping[int, Load] = field(default_factory=dict)
 
     @property
-    def is_gone(self) -> bool:
+    def has_stopped(self) -> bool:
         """Whether it has ended a planned stop."""
-        return self.heartbeat is not None and self.heartbeat.is_gone
+        return self.heartbeat is not None and self.heartbeat.has_stopped
 
     def count_loads(self, sums: LoadTotals, loads: Mapping[int, Load]) -> None:
         """Put its loads into sums in the place of those before."""
@@ -76,13 +76,13 @@
 
     Parameters
     ----------
-    has_ready : bool
+    has_serving_peer : bool
         Whether one that is heard is not about to stop.
-    has_young : bool
+    has_newcomer : bool
         Whether one that is heard has just started.
     before : int
         How many that are heard and reach the store come before us.
-    givers : tuple[str, ...]
+    permit_issuers : tuple[str, ...]
         Those that are heard and give permits.
 
     """
@@ -90,10 +90,10 @@
     at_ms: int
     alive: int = 0
     heard: int = 0
-    has_ready: bool = False
-    has_young: bool = False
+    has_serving_peer: bool = False
+    has_newcomer: bool = False
     before: int = 0
-    givers: tuple[str, ...] = ()
+    permit_issuers: tuple[str, ...] = ()
 
 
 def compute_heartbeat_interval_ms(gateways: int) -> int:
@@ -124,16 +124,16 @@
 
     Attributes
     ----------
-    is_unlisted : asyncio.Event
+    registration_lost : asyncio.Event
         Set where the table that names the gateways has lost us.
 
     """
 
     def __init__(self, name: str, clock: Clock) -> None:
         """Start knowing nobody."""
-        self.is_unlisted = asyncio.Event()
-        self.is_listed = False
-        self.own_version = 0
+        self.registration_lost = asyncio.Event()
+        self.has_gateway_list = False
+        self.registration_version = 0
         self.name = name
         self.loads = LoadTotals()
         self._clock = clock
@@ -151,12 +151,12 @@
         return compute_heartbeat_interval_ms(self.count)
 
     @property
-    def stretch(self) -> float:
+    def interval_factor(self) -> float:
         """How much more seldom each does what grows with the gateways."""
         return max(1, self.count / _FULL_PACE_GATEWAYS)
 
     @property
-    def few_part(self) -> float:
+    def sample_probability(self) -> float:
         """The chance with which each does what a few of all should do.
 
         Explanation
@@ -170,7 +170,7 @@
     def rank(self) -> int:
         """How many others that are heard come before us by name."""
         return sum(
-            peer.name < self.name and not peer.is_gone
+            peer.name < self.name and not peer.has_stopped
             for peer in self._peers.values()
             if not self._is_silent(peer)
         )
@@ -186,9 +186,11 @@
         return [peer.address for peer in self._peers.values()]
 
     @property
-    def all_heard(self) -> bool:
+    def all_reachable(self) -> bool:
         """Whether each that may be serving was heard of late."""
-        return self.is_listed and self._census.heard == self._census.alive
+        return (
+            self.has_gateway_list and self._census.heard == self._census.alive
+        )
 
     def list_heartbeats(self) -> list[Heartbeat] | None:
         """Give the newest word of each that may be serving.
@@ -197,7 +199,7 @@
         -----------
         None while one of them was not heard of late, or the list is not known.
         """
-        if not self.all_heard:
+        if not self.all_reachable:
             return None
         oldest_ms = self._clock.now() - _FORGET_MS
         return [
@@ -205,27 +207,27 @@
             for peer in self._peers.values()
             if peer.heartbeat is not None
             and peer.seen_ms >= oldest_ms
-            and not peer.is_gone
+            and not peer.has_stopped
         ]
 
     @property
-    def heard_part(self) -> float:
+    def reachable_fraction(self) -> float:
         """The part of all gateways that is heard, this one among them.
 
         Examples
         --------
         >>> peers = Peers('g0', Clock(lambda: 0))
-        >>> peers.take_rows([('g1', 'x:1'), ('g2', 'x:2'), ('g3', 'x:3')])
-        >>> peers.take_heartbeat(Heartbeat('g2', 1, 1))
+        >>> peers.apply_rows([('g1', 'x:1'), ('g2', 'x:2'), ('g3', 'x:3')])
+        >>> peers.apply_heartbeat(Heartbeat('g2', 1, 1))
         True
-        >>> peers.heard_part
+        >>> peers.reachable_fraction
         0.5
 
         """
         return (self._census.heard + 1) / self.count
 
     @property
-    def follows(self) -> bool:
+    def is_follower(self) -> bool:
         """Whether we are one of the few that follow the store for all.
 
         Explanation
@@ -236,34 +238,34 @@
         return self._census.before < _FOLLOWERS
 
     @property
-    def givers(self) -> tuple[str, ...]:
+    def permit_issuers(self) -> tuple[str, ...]:
         """The others that are heard and give permits."""
-        return self._census.givers
+        return self._census.permit_issuers
 
     @property
-    def has_young(self) -> bool:
+    def has_newcomer(self) -> bool:
         """Whether some other gateway has just started."""
-        return self._census.has_young
+        return self._census.has_newcomer
 
     @property
-    def has_ready(self) -> bool:
+    def has_serving_peer(self) -> bool:
         """Whether some other gateway that is heard is not about to stop."""
-        return self._census.has_ready
+        return self._census.has_serving_peer
 
     def address_of(self, name: str) -> str:
         """Give where a gateway listens, empty if it is not known."""
         peer = self._peers.get(name)
         return peer.address if peer else ''
 
-    def take_rows(self, rows: Iterable[tuple[str, str]]) -> None:
+    def apply_rows(self, rows: Iterable[tuple[str, str]]) -> None:
         """Take names and addresses from the store; no address: it is gone."""
-        self.is_listed = True
+        self.has_gateway_list = True
         self._counted = None
         for name, address in rows:
             if name != self.name:
                 self._take_row(name, address)
 
-    def take_heartbeat(self, heartbeat: Heartbeat) -> bool:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> bool:
         """Take a heartbeat; tell whether it says anything new.
 
         Explanation
@@ -280,16 +282,20 @@
             return False
         peer.heartbeat = heartbeat
         peer.seen_ms = self._clock.now()
-        peer.count_loads(self.loads, {} if peer.is_gone else heartbeat.loads)
-        is_other = last and last.is_cut != heartbeat.is_cut
-        if not is_same_life or is_other or peer.is_silent or peer.is_gone:
+        peer.count_loads(
+            self.loads, {} if peer.has_stopped else heartbeat.loads
+        )
+        is_other = (
+            last and last.is_store_unreachable != heartbeat.is_store_unreachable
+        )
+        if not is_same_life or is_other or peer.is_silent or peer.has_stopped:
             self._counted = None
         if peer.is_silent:
             peer.is_silent = False
             _logger.info('gateway heard', extra={'peer': peer.name})
         return True
 
-    def note_unread(self, address: str) -> None:
+    def record_undecodable(self, address: str) -> None:
         """Note that what came from an address cannot be read.
 
         Explanation
@@ -307,7 +313,7 @@
                 )
             peer.unread_ms = self._clock.now()
 
-    def note_silence(self) -> None:
+    def record_silent_peers(self) -> None:
         """Note and log who has fallen silent."""
         for peer in self._peers.values():
             if self._is_silent(peer) and not peer.is_silent:
@@ -336,7 +342,7 @@
             peer
             for peer in self._peers.values()
             if max(peer.seen_ms, peer.unread_ms) >= oldest_ms
-            and not peer.is_gone
+            and not peer.has_stopped
         ]
         silent_ms = _SILENT_BEATS * compute_heartbeat_interval_ms(
             len(alive) + 1
@@ -353,7 +359,7 @@
             any(not told.is_stopping for told in heard),
             any(told.uptime_ms < _YOUNG_MS for told in heard),
             sum(_is_before(told, self.name) for told in heard),
-            tuple(told.name for told in heard if told.gives_permits),
+            tuple(told.name for told in heard if told.issues_permits),
         )
 
     def _take_row(self, name: str, address: str) -> None:
@@ -376,6 +382,6 @@
 
 
 def _is_before(told: Heartbeat, name: str) -> bool:
-    if told.is_stopping or told.is_cut:
+    if told.is_stopping or told.is_store_unreachable:
         return False
     return hash_name(told.name) < hash_name(name)
--- a/seampond/sharing/quotas.py
+++ b/seampond/sharing/quotas.py
@@ -51,7 +51,7 @@
     ----------
     margin : QuotaMargin
         What all gateways together may give beyond a tenant's quota.
-    note_urgent : Callable[[], None]
+    request_heartbeat : Callable[[], None]
         Called where the others should hear of us at once.
 
     """
@@ -61,14 +61,14 @@
         peers: Peers,
         margin: QuotaMargin,
         clock: Clock,
-        note_urgent: Callable[[], None],
+        request_heartbeat: Callable[[], None],
         rng: random.Random,
     ) -> None:
         """Start with no buckets."""
         self._peers = peers
         self.margin = margin
         self._clock = clock
-        self._note_urgent = note_urgent
+        self._request_heartbeat = request_heartbeat
         self._rng = rng
         self._started_ms = clock.now()
         # By key of the tenant, as in the heartbeats.
@@ -92,7 +92,7 @@
         units: float,
         rank: int = 0,
         *,
-        is_spare: bool = True,
+        has_idle_slots: bool = True,
     ) -> int:
         """Take units from a tenant's bucket.
 
@@ -108,7 +108,7 @@
         ----------
         rank : int
             The urgency of the kind of work, 0 the highest.
-        is_spare : bool
+        has_idle_slots : bool
             Whether servers have places that nobody else waits for; what flows
             in beyond the rate is given only then, or one tenant's excess
             would take the places of others.
@@ -121,7 +121,7 @@
         """
         bucket = self._filled(tenant)
         level = bucket.level
-        if not is_spare:
+        if not has_idle_slots:
             level = min(level, bucket.plain)
         wait_ms = self._wait_ms(bucket, level, units, rank)
         bucket.fairness.note(rank, units, is_given=not wait_ms)
@@ -129,7 +129,7 @@
             return wait_ms
         bucket.spend(self._clock.now(), units)
         if self._is_urgent(bucket):
-            self._note_urgent()
+            self._request_heartbeat()
         return 0
 
     def refund(self, tenant: Tenant, units: float) -> None:
@@ -138,18 +138,18 @@
         if bucket is not None:
             bucket.spend(self._clock.now(), -units)
 
-    def tell(self) -> Mapping[int, float]:
+    def spent_by_tenant(self) -> Mapping[int, float]:
         """Give what we have spent, by key of the tenant."""
         return {key: known.spent for key, known in self._buckets.items()}
 
-    def note_told(self) -> None:
+    def record_sent(self) -> None:
         """Note that all others were sent what we have spent."""
         for bucket in self._buckets.values():
             bucket.told = bucket.spent
 
-    def tell_levels(self) -> Mapping[int, int]:
+    def levels_for_newcomers(self) -> Mapping[int, int]:
         """Give the level of each bucket, where a new gateway needs them."""
-        if not self._knows_levels or not self._peers.has_young:
+        if not self._knows_levels or not self._peers.has_newcomer:
             return {}
         for bucket in self._buckets.values():
             self._fill(bucket)
@@ -157,7 +157,7 @@
             key: math.floor(known.level) for key, known in self._buckets.items()
         }
 
-    def take_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take what another gateway says it has given, and its levels."""
         if heartbeat.levels and self.uptime_ms < self.margin.window_ms:
             self._take_levels(heartbeat.levels)
@@ -196,7 +196,7 @@
         in_a_beat = rate * self._peers.heartbeat_interval_ms / MS_PER_SECOND
         reserve = self.margin.give_reserve(bucket.tenant)
         if in_a_beat > reserve * _IN_A_BEAT_PART:
-            most *= self._peers.few_part
+            most *= self._peers.sample_probability
         return untold > most
 
     def _take_levels(self, levels: Mapping[int, int]) -> None:
@@ -256,8 +256,8 @@
         rate = self.margin.give_rate(bucket.tenant)
         now_ms = self._clock.now()
         missing = max(missing, units - bucket.left(now_ms, self.margin))
-        if not self._peers.all_heard:
-            part = self._peers.heard_part
+        if not self._peers.all_reachable:
+            part = self._peers.reachable_fraction
             missing = max(
                 missing, self._missing(bucket.part_level, units, part)
             )
@@ -306,11 +306,13 @@
             level,
             level,
             min(0, level),
-            self._peers.heard_part,
+            self._peers.reachable_fraction,
         )
 
     def _fill(self, bucket: Bucket) -> None:
-        bucket.fill(self._clock.now(), self.margin, self._peers.heard_part)
-        if self._peers.all_heard:
+        bucket.fill(
+            self._clock.now(), self.margin, self._peers.reachable_fraction
+        )
+        if self._peers.all_reachable:
             # Should somebody fall silent, we go on from our part of this.
             bucket.part_level = bucket.level
--- a/seampond/sharing/tests/test_builds.py
+++ b/seampond/sharing/tests/test_builds.py
@@ -96,7 +96,7 @@
                 )
                 read = decode(written.to_bytes_packed())
                 self.assertEqual(read, Heartbeat('g1', 7, 3))
-                self.assertFalse(read.gives_permits)
+                self.assertFalse(read.issues_permits)
 
 
 class NotUnderstoodTest(unittest.TestCase):
@@ -106,21 +106,21 @@
         """However long it has been so; its part is not given."""
         clock = ManualClock(1000)
         peers = Peers('g1', clock)
-        peers.take_rows([('g2', 'x:1')])
+        peers.apply_rows([('g2', 'x:1')])
         for _ in range(30):
             clock.advance(_FORGET_MS // 20)
-            peers.note_unread('x:1')
-            peers.note_unread('x:2')
+            peers.record_undecodable('x:1')
+            peers.record_undecodable('x:2')
         self.assertEqual(peers.count, 2)
-        self.assertFalse(peers.all_heard)
-        self.assertEqual(peers.heard_part, 0.5)
+        self.assertFalse(peers.all_reachable)
+        self.assertEqual(peers.reachable_fraction, 0.5)
 
     def test_it_is_forgotten_once_nothing_comes(self) -> None:
         """As one that was silent for as long."""
         clock = ManualClock(1000)
         peers = Peers('g1', clock)
-        peers.take_rows([('g2', 'x:1')])
+        peers.apply_rows([('g2', 'x:1')])
         clock.advance(_FORGET_MS)
-        peers.note_unread('x:1')
+        peers.record_undecodable('x:1')
         clock.advance(_FORGET_MS + 1)
         self.assertEqual(peers.count, 1)
--- a/seampond/sharing/tests/test_heartbeats.py
+++ b/seampond/sharing/tests/test_heartbeats.py
@@ -49,9 +49,14 @@
 
     def test_pages_of_the_store(self) -> None:
         """Rows that changed, and one that went."""
-        rows = (Row('i-1', b'{"a": 1}', 41), Row('i-2', b'', 42, is_gone=True))
+        rows = (
+            Row('i-1', b'{"a": 1}', 41),
+            Row('i-2', b'', 42, is_deleted=True),
+        )
         page = RelayedPage(hash_name('servers'), 40, 43, 123_456, rows)
-        heartbeat = Heartbeat('g', 1, 1, is_cut=True, pages=(page,))
+        heartbeat = Heartbeat(
+            'g', 1, 1, is_store_unreachable=True, pages=(page,)
+        )
         self.assertEqual(decode(encode(heartbeat)), heartbeat)
 
     def test_reports_of_roll_outs(self) -> None:
--- a/seampond/sharing/tests/test_quotas.py
+++ b/seampond/sharing/tests/test_quotas.py
@@ -41,7 +41,7 @@
     def restart(self, name: str) -> None:
         """Start a gateway with nothing in memory."""
         peers = Peers(name, self.clock)
-        peers.take_rows((other, 'x:1') for other in self.names)
+        peers.apply_rows((other, 'x:1') for other in self.names)
         self.peers[name] = peers
         self._lives[name] = self._lives.get(name, 0) + 1
         self.quotas[name] = Quotas(
@@ -64,7 +64,7 @@
             for other in self.names:
                 if name != other and self._can_reach(name, other):
                     self.tell(name, other)
-            self.quotas[name].note_told()
+            self.quotas[name].record_sent()
 
     def ask(self, name: str, units: float) -> bool:
         """Ask one gateway; note what it gives."""
@@ -87,12 +87,12 @@
             self._lives[name],
             self._sequence,
             1,
-            dict(self.quotas[name].tell()),
+            dict(self.quotas[name].spent_by_tenant()),
             uptime_ms=self.quotas[name].uptime_ms,
-            levels=self.quotas[name].tell_levels(),
+            levels=self.quotas[name].levels_for_newcomers(),
         )
-        if self.peers[other].take_heartbeat(heartbeat):
-            self.quotas[other].take_heartbeat(heartbeat)
+        if self.peers[other].apply_heartbeat(heartbeat):
+            self.quotas[other].apply_heartbeat(heartbeat)
 
     def _can_reach(self, name: str, other: str) -> bool:
         ends = {name, other}
@@ -127,13 +127,13 @@
     def test_others_who_wait_go_before_what_is_beyond_the_rate(self) -> None:
         """Where servers are full, a tenant is given its rate and a debt."""
         given = {True: 0, False: 0}
-        for is_spare in given:
+        for has_idle_slots in given:
             fleet = Fleet(1, slack=4000)
             for _ in range(400):
                 fleet.beat()
-                given[is_spare] += 50 * sum(
+                given[has_idle_slots] += 50 * sum(
                     not fleet.quotas['g0'].charge(
-                        _TENANT, 50, is_spare=is_spare
+                        _TENANT, 50, has_idle_slots=has_idle_slots
                     )
                     for _ in range(10)
                 )
@@ -236,11 +236,11 @@
         fleet.beat()
         fleet.cut = set()
         fleet.beat()
-        low = fleet.quotas['g1'].tell_levels()
+        low = fleet.quotas['g1'].levels_for_newcomers()
         fleet.ask('g0', 0)
         fleet.restart('g2')
         fleet.beat()
-        told = fleet.quotas['g0'].tell_levels()
+        told = fleet.quotas['g0'].levels_for_newcomers()
         flowed = fleet.margin.give_rate(_TENANT) * _BEAT_MS / 1000
         risen = sum(told.values()) - sum(low.values())
         self.assertLessEqual(risen, flowed + 1)
@@ -373,21 +373,21 @@
     def test_overtaken_heartbeat_says_nothing(self) -> None:
         """Datagrams may overtake one another."""
         peers = Peers('g0', ManualClock())
-        peers.take_rows([('g1', 'x:1')])
-        self.assertTrue(peers.take_heartbeat(Heartbeat('g1', 1, 2)))
-        self.assertFalse(peers.take_heartbeat(Heartbeat('g1', 1, 1)))
-        self.assertTrue(peers.take_heartbeat(Heartbeat('g1', 2, 1)))
+        peers.apply_rows([('g1', 'x:1')])
+        self.assertTrue(peers.apply_heartbeat(Heartbeat('g1', 1, 2)))
+        self.assertFalse(peers.apply_heartbeat(Heartbeat('g1', 1, 1)))
+        self.assertTrue(peers.apply_heartbeat(Heartbeat('g1', 2, 1)))
 
     def test_silent_gateway_counts_for_a_while(self) -> None:
         """It may still be serving; after long it is gone."""
         clock = ManualClock()
         peers = Peers('g0', clock)
-        peers.take_rows([('g0', 'x:0'), ('g1', 'x:1')])
-        self.assertFalse(peers.all_heard)
-        peers.take_heartbeat(Heartbeat('g1', 1, 1))
-        self.assertTrue(peers.all_heard)
+        peers.apply_rows([('g0', 'x:0'), ('g1', 'x:1')])
+        self.assertFalse(peers.all_reachable)
+        peers.apply_heartbeat(Heartbeat('g1', 1, 1))
+        self.assertTrue(peers.all_reachable)
         clock.advance(2000)
-        self.assertFalse(peers.all_heard)
+        self.assertFalse(peers.all_reachable)
         self.assertEqual(peers.count, 2)
         clock.advance(60_000)
         self.assertEqual(peers.count, 1)
@@ -395,7 +395,7 @@
     def test_unknown_names_are_not_taken(self) -> None:
         """Only gateways that the store lists count."""
         peers = Peers('g0', ManualClock())
-        self.assertFalse(peers.take_heartbeat(Heartbeat('who', 1, 1)))
+        self.assertFalse(peers.apply_heartbeat(Heartbeat('who', 1, 1)))
         self.assertEqual(peers.count, 1)
 
     def test_a_few_follow_the_store(self) -> None:
@@ -403,15 +403,17 @@
         clock = ManualClock()
         names = sorted((f'g{number}' for number in range(12)), key=hash_name)
         peers = Peers(names[5], clock)
-        peers.take_rows((name, 'x:1') for name in names)
-        self.assertTrue(peers.follows)
+        peers.apply_rows((name, 'x:1') for name in names)
+        self.assertTrue(peers.is_follower)
         for name in names:
-            peers.take_heartbeat(Heartbeat(name, 1, 1))
-        self.assertFalse(peers.follows)
+            peers.apply_heartbeat(Heartbeat(name, 1, 1))
+        self.assertFalse(peers.is_follower)
         for name in names[:2]:
-            peers.take_heartbeat(Heartbeat(name, 1, 2, is_cut=True))
-        self.assertTrue(peers.follows)
+            peers.apply_heartbeat(
+                Heartbeat(name, 1, 2, is_store_unreachable=True)
+            )
+        self.assertTrue(peers.is_follower)
         clock.advance(100)
         for name in names[:2]:
-            peers.take_heartbeat(Heartbeat(name, 1, 3))
-        self.assertFalse(peers.follows)
+            peers.apply_heartbeat(Heartbeat(name, 1, 3))
+        self.assertFalse(peers.is_follower)
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -53,27 +53,27 @@
     ----------
     make_heartbeat : Callable[[int], Heartbeat]
         Gives the heartbeat of a sequence number.
-    note_told : Callable[[], None]
+    record_sent : Callable[[], None]
         Told when all others were sent the heartbeat that was just made.
-    take_heartbeat : Callable[[Heartbeat], None]
+    apply_heartbeat : Callable[[Heartbeat], None]
         Takes what another gateway has said.
-    is_urgent : asyncio.Event
+    heartbeat_requested : asyncio.Event
         Set where the others should hear of us at once.
     count_dropped : Callable[[str], None]
         Counts a datagram that cannot be read.
-    take_permit : Callable[[PermitRequest | PermitReply], None]
+    handle_permit : Callable[[PermitRequest | PermitReply], None]
         Takes what another gateway asks or answers on permits.
 
     """
 
     peers: Peers
     make_heartbeat: Callable[[int], Heartbeat]
-    note_told: Callable[[], None]
-    take_heartbeat: Callable[[Heartbeat], None]
-    is_urgent: asyncio.Event
+    record_sent: Callable[[], None]
+    apply_heartbeat: Callable[[Heartbeat], None]
+    heartbeat_requested: asyncio.Event
     clock: Clock
     count_dropped: Callable[[str], None]
-    take_permit: Callable[[PermitRequest | PermitReply], None]
+    handle_permit: Callable[[PermitRequest | PermitReply], None]
 
 
 class _Endpoint(asyncio.DatagramProtocol):
@@ -100,12 +100,12 @@
             heartbeat = decode(packet, peer=addr[0])
         except ForeignMessageError:
             sharing.count_dropped('heartbeat')
-            sharing.peers.note_unread(f'{addr[0]}:{addr[1]}')
+            sharing.peers.record_undecodable(f'{addr[0]}:{addr[1]}')
             return
-        if not sharing.peers.take_heartbeat(heartbeat):
+        if not sharing.peers.apply_heartbeat(heartbeat):
             return
-        sharing.take_heartbeat(heartbeat)
-        if heartbeat.uptime_ms < _NEWCOMER_MS and not heartbeat.is_gone:
+        sharing.apply_heartbeat(heartbeat)
+        if heartbeat.uptime_ms < _NEWCOMER_MS and not heartbeat.has_stopped:
             self._greet(heartbeat.name)
 
     def send_permit(
@@ -118,14 +118,14 @@
         host, _, port = address.rpartition(':')
         self._transport.sendto(encode_permit(message), (host, int(port)))
 
-    def tell_all(self) -> None:
+    def send_to_all(self) -> None:
         """Send a heartbeat to all others."""
         sharing = self._sharing
         told = sharing.make_heartbeat(self._next_sequence())
-        sharing.note_told()
+        sharing.record_sent()
         self._send(told, sharing.peers.addresses)
 
-    def tell_end(self) -> None:
+    def send_final(self) -> None:
         """Send the last word of this life.
 
         Explanation
@@ -133,7 +133,7 @@
         Datagrams may be lost; who hears none of these waits for the row.
         """
         sharing = self._sharing
-        last = replace(sharing.make_heartbeat(_LAST_SEQUENCE), is_gone=True)
+        last = replace(sharing.make_heartbeat(_LAST_SEQUENCE), has_stopped=True)
         for _ in range(_LAST_TIMES):
             self._send(last, sharing.peers.addresses)
 
@@ -146,7 +146,7 @@
         all would be as many datagrams as there are pairs of gateways.
         """
         peers = self._sharing.peers
-        if random.random() < peers.few_part:
+        if random.random() < peers.sample_probability:
             told = self._sharing.make_heartbeat(self._next_sequence())
             self._send(told, [peers.address_of(name)])
 
@@ -157,7 +157,7 @@
             self._sharing.count_dropped('permit')
             return
         if message.name in self._sharing.peers.names:
-            self._sharing.take_permit(message)
+            self._sharing.handle_permit(message)
 
     def _next_sequence(self) -> int:
         self._sequence += 1
@@ -178,7 +178,7 @@
     listed: dict[str, str] = {}
     for row in latest.values():
         try:
-            listed[row.key] = '' if row.is_gone else _read_address(row)
+            listed[row.key] = '' if row.is_deleted else _read_address(row)
         except PlatformError as error:
             _logger.warning(
                 'row of a gateway refused',
@@ -187,12 +187,12 @@
     if page.is_whole:
         # A removal that was missed shows only by the row that is not there.
         listed |= dict.fromkeys(peers.names - latest.keys(), '')
-        if peers.own_version and peers.name not in latest:
-            peers.is_unlisted.set()
-    peers.take_rows(listed.items())
+        if peers.registration_version and peers.name not in latest:
+            peers.registration_lost.set()
+    peers.apply_rows(listed.items())
     own = latest.get(peers.name)
-    if own is not None and not own.is_gone:
-        peers.own_version = own.version
+    if own is not None and not own.is_deleted:
+        peers.registration_version = own.version
 
 
 def _read_address(row: Row) -> str:
@@ -205,7 +205,7 @@
     """Write our own row, and again whenever the store has lost it."""
     content = encode_gateway(address)
     while True:
-        peers.is_unlisted.clear()
+        peers.registration_lost.clear()
         try:
             await writer.put(peers.name, content)
         except PlatformError as error:
@@ -213,7 +213,7 @@
             await clock.sleep(_REGISTER_AGAIN_MS)
         else:
             # A restore of the store from an older copy may lose it.
-            await peers.is_unlisted.wait()
+            await peers.registration_lost.wait()
 
 
 async def unregister(writer: RowWriter, peers: Peers) -> None:
@@ -226,15 +226,15 @@
     """
     with suppress(PlatformError, TimeoutError):
         async with asyncio.timeout(_REMOVE_MS / MS_PER_SECOND):
-            await writer.remove(peers.name, peers.own_version)
+            await writer.remove(peers.name, peers.registration_version)
 
 
 async def _send_heartbeats(
     sharing: TransportContext, endpoint: _Endpoint
 ) -> None:
     while True:
-        endpoint.tell_all()
-        sharing.peers.note_silence()
+        endpoint.send_to_all()
+        sharing.peers.record_silent_peers()
         heartbeat_interval_ms = sharing.peers.heartbeat_interval_ms
         least_ms = heartbeat_interval_ms * _LEAST_PART
         await sharing.clock.sleep(least_ms)
@@ -242,12 +242,12 @@
             async with asyncio.timeout(
                 (heartbeat_interval_ms - least_ms) / MS_PER_SECOND
             ):
-                await sharing.is_urgent.wait()
-        sharing.is_urgent.clear()
+                await sharing.heartbeat_requested.wait()
+        sharing.heartbeat_requested.clear()
 
 
 @asynccontextmanager
-async def share(
+async def exchange_heartbeats(
     address: str, sharing: TransportContext
 ) -> AsyncIterator[Callable[[str, PermitRequest | PermitReply], None]]:
     """Exchange heartbeats until the end of the `with`.
@@ -266,6 +266,6 @@
     try:
         async with run_tasks(_send_heartbeats(sharing, endpoint)):
             yield endpoint.send_permit
-        endpoint.tell_end()
+        endpoint.send_final()
     finally:
         transport.close()
--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -30,7 +30,7 @@
 _GROUPS = (
     ('take a heartbeat', 'datagram_received'),
     ('of it: decode', 'heartbeats.py:decode'),
-    ('of it: quotas', 'quotas.py:take_heartbeat'),
+    ('of it: quotas', 'quotas.py:apply_heartbeat'),
     ('of it: loads', 'update_remote_loads'),
     ('of it: sum of loads', 'loads.py:replace'),
     ('make a heartbeat', 'parts.py:make_heartbeat'),
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -123,8 +123,8 @@
         self.fleet = fleet
         self.incarnation = incarnation
         self.peers = Peers(name, fleet.clock)
-        self.peers.take_rows([(one, 'x:1') for one in fleet.names])
-        self.is_urgent = asyncio.Event()
+        self.peers.apply_rows([(one, 'x:1') for one in fleet.names])
+        self.heartbeat_requested = asyncio.Event()
         self.backends = Backends(
             fleet.clock, NAMES.request_id, hash_name=hash_name
         )
@@ -132,7 +132,7 @@
             self.peers,
             fleet.clock,
             self.backends.apply_limit_report,
-            self.is_urgent.set,
+            self.heartbeat_requested.set,
             fleet.rng,
         )
         self.permit_manager.send = self._send_permit
@@ -162,7 +162,7 @@
         clock = self.fleet.clock
         while self.is_up:
             self._tell_all()
-            self.peers.note_silence()
+            self.peers.record_silent_peers()
             least_ms = self.peers.heartbeat_interval_ms * _LEAST_BEAT_PART
             await clock.sleep(least_ms)
             with suppress(TimeoutError):
@@ -170,15 +170,15 @@
                     self.peers.heartbeat_interval_ms - least_ms
                 ) / MS_PER_SECOND
                 async with asyncio.timeout(seconds):
-                    await self.is_urgent.wait()
-            self.is_urgent.clear()
+                    await self.heartbeat_requested.wait()
+            self.heartbeat_requested.clear()
 
     def hear(self, heartbeat: Heartbeat) -> None:
         """Take what another has told."""
-        if self.is_up and self.peers.take_heartbeat(heartbeat):
-            self.permit_manager.take_told(heartbeat.limits)
+        if self.is_up and self.peers.apply_heartbeat(heartbeat):
+            self.permit_manager.take_told(heartbeat.limit_reports)
 
-    def take_permit(self, message: PermitRequest | PermitReply) -> None:
+    def handle_permit(self, message: PermitRequest | PermitReply) -> None:
         """Take what another asks or answers."""
         if not self.is_up:
             return
@@ -223,8 +223,8 @@
             self.incarnation,
             self._sequence,
             is_stopping=self.is_stopping,
-            limits=self.permit_manager.tell(),
-            gives_permits=True,
+            limit_reports=self.permit_manager.tell(),
+            issues_permits=True,
         )
         # A set of names has another order in each process, a seed must not.
         for name in sorted(self.peers.names):
@@ -237,7 +237,7 @@
         self.fleet.network.deliver(
             self.name,
             name,
-            lambda: self.fleet.gateways[name].take_permit(message),
+            lambda: self.fleet.gateways[name].handle_permit(message),
         )
 
 
--- a/seampond/watches/probe.py
+++ b/seampond/watches/probe.py
@@ -39,7 +39,7 @@
     while True:
         steps = min(_MOST_STEPS, rank())
         behind_ms = _BEHIND_MS
-        if not watch.follows():
+        if not watch.is_follower():
             behind_ms = random.randrange(_SPREAD_MS)
         due_ms = currency.due_ms(age_ms + steps * _STEP_MS, behind_ms)
         left_ms = due_ms - clock.now()
--- a/seampond/watches/rows.py
+++ b/seampond/watches/rows.py
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row; `is_gone` where it was removed.
+    """One row; `is_deleted` where it was removed.
 
     Parameters
     ----------
@@ -79,7 +79,7 @@
     key: str
     content: bytes
     version: int
-    is_gone: bool = False
+    is_deleted: bool = False
 
     @property
     def size(self) -> int:
--- a/seampond/watches/tests/test_narrow_links.py
+++ b/seampond/watches/tests/test_narrow_links.py
@@ -72,7 +72,7 @@
             clock,
             lambda step: None,
             self.currency,
-            follows=lambda: self.number < _FOLLOWERS,
+            is_follower=lambda: self.number < _FOLLOWERS,
         )
 
     def take(self, page: Page) -> None:
--- a/seampond/watches/tests/test_watch.py
+++ b/seampond/watches/tests/test_watch.py
@@ -182,7 +182,7 @@
         """After the read that starts it; others pass changes on."""
         source = ListedSource(_page(3, is_whole=True), _page(3))
         clock = HeldClock()
-        watch = build_watch(source, clock=clock, follows=_never)
+        watch = build_watch(source, clock=clock, is_follower=_never)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
@@ -233,7 +233,9 @@
         source = ListedSource(whole, still, _page(4))
         probe_source = ListedSource(PlatformError('is down', step='read'))
         clock = NotedClock()
-        watch = build_watch(source, probe_source, clock=clock, follows=_never)
+        watch = build_watch(
+            source, probe_source, clock=clock, is_follower=_never
+        )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
@@ -251,7 +253,7 @@
 
     async def test_of_many_each_asks_more_seldom(self) -> None:
         """The first answer after an outage reaches all."""
-        pauses = await self._fail(proved_ms=1000, stretch=lambda: 4)
+        pauses = await self._fail(proved_ms=1000, interval_factor=lambda: 4)
         self.assertGreater(max(pauses), 300)
         self.assertLessEqual(max(pauses), 800)
 
--- a/seampond/watches/watch.py
+++ b/seampond/watches/watch.py
@@ -72,9 +72,9 @@
     pace_ms : int
         How long to wait after a change before the next are asked for, so
         that many at once come in one answer.
-    stretch : Callable[[], float]
+    interval_factor : Callable[[], float]
         By how much that pause is longer where many others ask too.
-    follows : Callable[[], bool]
+    is_follower : Callable[[], bool]
         Whether we have to follow the table; if not, others pass its changes
         on, and we ask where something is missing or nothing was proved.
     proves_first : bool
@@ -94,8 +94,8 @@
     currency: TableFreshness
     pause_ms: int = 600
     pace_ms: int = 0
-    stretch: Callable[[], float] = _not_longer
-    follows: Callable[[], bool] = _always
+    interval_factor: Callable[[], float] = _not_longer
+    is_follower: Callable[[], bool] = _always
     proves_first: bool = True
     pass_on: Callable[[int, Page], None] = _tell_nobody
     is_current: bool = False
@@ -164,7 +164,7 @@
             # The feed's own call may hang as well, and longer.
             self._is_suspect = True
             # Who does not follow asks on at the feed's growing pauses.
-            self._is_failing = not self.follows()
+            self._is_failing = not self.is_follower()
             return False
         self._failures.note_answer()
         if self._is_suspect:
@@ -206,7 +206,7 @@
     def _has_to_ask(self) -> bool:
         if self.is_new or self._is_failing or not self.is_current:
             return True
-        return self._is_flooded or self.follows()
+        return self._is_flooded or self.is_follower()
 
     async def _step(self) -> bool:
         """Make one call; tell whether its answer was fresh."""
@@ -277,7 +277,7 @@
         The first answer after an outage is passed on to all, so the more ask,
         the more seldom each has to.
         """
-        longest_ms = round(self.pause_ms * self.stretch())
+        longest_ms = round(self.pause_ms * self.interval_factor())
         if self._is_proved_by_others:
             return max(longest_ms, _PROVED_PAUSE_MS)
         return min(longest_ms, _PROVED_PAUSE_MS)
