--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -10,7 +10,7 @@
 from seampond.forwarding.models import (
     Configuration,
     HeaderNames,
-    Limits,
+    RequestLimits,
     Route,
     Tenant,
 )
@@ -139,10 +139,10 @@
         self._longest: dict[str, int] = {}
 
     @property
-    def limits(self) -> Limits:
+    def limits(self) -> RequestLimits:
         """What a caller may send now."""
         configuration = self._belief.configuration
-        return configuration.limits if configuration else Limits()
+        return configuration.limits if configuration else RequestLimits()
 
     @property
     def id_header(self) -> bytes:
@@ -316,7 +316,7 @@
             return
         units = 1.0
         if tenant.counts_tokens:
-            units = float(job.prompt.total or tenant.plain_units)
+            units = float(job.prompt.total or tenant.units_per_request)
         # Where no tokens are named, little is asked: no reason to put it off.
         rank = job.route.priority if job.prompt.total else 0
         wait_ms = self._charge(
--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -289,9 +289,9 @@
 
     async def _receive(self, receive: Receive) -> Message:
         """Wait for the next part of the body, as long as it may take."""
-        idle_ms = self._web.admission.limits.idle_ms
+        idle_timeout_ms = self._web.admission.limits.idle_timeout_ms
         try:
-            async with asyncio.timeout(idle_ms / MS_PER_SECOND):
+            async with asyncio.timeout(idle_timeout_ms / MS_PER_SECOND):
                 message = await receive()
         except TimeoutError as error:
             raise Refusal(Cause.body_too_slow, step='read') from error
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -232,7 +232,7 @@
                     await sink.start(head, None)
                 progress.job.has_streamed = True
                 await sink.send(events)
-        if progress.splitter.rest:
+        if progress.splitter.remainder:
             raise self._error('ended inside an event')
         if not sink.has_started:
             await sink.start(head, None)
--- a/seampond/forwarding/caller_protocol.py
+++ b/seampond/forwarding/caller_protocol.py
@@ -7,7 +7,7 @@
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
 from seampond.clock import MS_PER_SECOND
-from seampond.forwarding.models import Limits
+from seampond.forwarding.models import RequestLimits
 
 TARGET_KEY = 'seampond.target'
 ON_DISCONNECT_KEY = 'seampond.watch'
@@ -29,13 +29,13 @@
 
     Parameters
     ----------
-    get_limits : Callable[[], Limits]
+    get_limits : Callable[[], RequestLimits]
         Gives how long a caller may be silent, and how long a head may take.
 
     """
 
     def __init__(
-        self, get_limits: Callable[[], Limits], *args: Any, **kwargs: Any
+        self, get_limits: Callable[[], RequestLimits], *args: Any, **kwargs: Any
     ) -> None:
         """Start with nobody to tell."""
         super().__init__(*args, **kwargs)
@@ -50,7 +50,7 @@
         """Close the connection if nothing comes."""
         super().connection_made(transport)
         self.timeout_keep_alive_task = self.loop.call_later(
-            self._get_limits().idle_ms / MS_PER_SECOND,
+            self._get_limits().idle_timeout_ms / MS_PER_SECOND,
             self.timeout_keep_alive_handler,
         )
 
@@ -79,8 +79,8 @@
 
     def on_response_complete(self) -> None:
         """Let the connection rest as long as the configuration says."""
-        idle_ms = self._get_limits().idle_ms
-        self.timeout_keep_alive = -(-idle_ms // MS_PER_SECOND)
+        idle_timeout_ms = self._get_limits().idle_timeout_ms
+        self.timeout_keep_alive = -(-idle_timeout_ms // MS_PER_SECOND)
         super().on_response_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -96,7 +96,7 @@
         self._on_gone = on_gone
 
     def _start_head_timer(self) -> None:
-        seconds = self._get_limits().header_ms / MS_PER_SECOND
+        seconds = self._get_limits().header_timeout_ms / MS_PER_SECOND
         self._head_timer = self.loop.call_later(seconds, self._refuse_head)
 
     def _stop_head_timer(self) -> None:
--- a/seampond/forwarding/events.py
+++ b/seampond/forwarding/events.py
@@ -10,23 +10,23 @@
     def __init__(self) -> None:
         """Start with nothing kept."""
         self.last_id = b''
-        self.rest = b''
+        self.remainder = b''
 
     def feed(self, payload: bytes) -> bytes:
         """Give the whole events so far; keep the rest."""
-        kept = self.rest + payload
+        kept = self.remainder + payload
         end = kept.rfind(_END)
         if end < 0:
-            self.rest = kept
+            self.remainder = kept
             return b''
         whole = kept[: end + len(_END)]
-        self.rest = kept[end + len(_END) :]
+        self.remainder = kept[end + len(_END) :]
         self._note_id(whole)
         return whole
 
     def restart(self) -> None:
         """Forget a part of an event that was cut off."""
-        self.rest = b''
+        self.remainder = b''
 
     def _note_id(self, whole: bytes) -> None:
         for line in reversed(whole.splitlines()):
--- a/seampond/forwarding/job.py
+++ b/seampond/forwarding/job.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from seampond.forwarding.models import Kind, Route, Tenant
+from seampond.forwarding.models import RequestKind, Route, Tenant
 from seampond.forwarding.server_limit import Permit
 
 Headers = list[tuple[bytes, bytes]]
@@ -111,4 +111,4 @@
     @property
     def is_stream(self) -> bool:
         """Whether the answer is a series of events."""
-        return self.route.kind is Kind.stream
+        return self.route.kind is RequestKind.stream
--- a/seampond/forwarding/models.py
+++ b/seampond/forwarding/models.py
@@ -11,7 +11,7 @@
 
 
 @enum.unique
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """What may be done with a request a second time."""
 
     idempotent = 'idempotent'
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class PoolShare:
     """The part of a route's traffic that goes to one pool."""
 
     pool: str
@@ -49,8 +49,8 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
-    shares: tuple[Share, ...]
+    kind: RequestKind
+    shares: tuple[PoolShare, ...]
     timeout_ms: int
     target_ms: int
     priority: int
@@ -62,7 +62,7 @@
     @property
     def may_repeat(self) -> bool:
         """Whether a request may run again after it may have run."""
-        return self.kind is Kind.idempotent or self.may_resume
+        return self.kind is RequestKind.idempotent or self.may_resume
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     priority: int | None = None
     rate: float = 0
     burst: float = 0
-    plain_units: int = 1
+    units_per_request: int = 1
     counts_tokens: bool = False
 
 
@@ -87,22 +87,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class RequestLimits:
     """What a caller may send, and how long it may take.
 
     Parameters
     ----------
-    header_ms : int
+    header_timeout_ms : int
         From the first byte of a head to its end.
-    idle_ms : int
+    idle_timeout_ms : int
         Without a byte, between two requests or inside a body.
 
     """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
-    header_ms: int = 10_000
-    idle_ms: int = 15_000
+    header_timeout_ms: int = 10_000
+    idle_timeout_ms: int = 15_000
 
 
 def digest_key(key: str) -> bytes:
@@ -130,7 +130,7 @@
     pools: Mapping[str, Pool] = field(default_factory=dict)
     keys: Mapping[bytes, Tenant] = field(default_factory=dict)
     has_tenants: bool = False
-    limits: Limits = Limits()
+    limits: RequestLimits = RequestLimits()
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Give the route of `host` with the longest prefix of `path`.
@@ -162,7 +162,7 @@
     ----------
     reserved : tuple[bytes, ...]
         How the names of headers begin that only a gateway may set.
-    from_callers : frozenset[bytes]
+    caller_settable : frozenset[bytes]
         The reserved headers that a caller may set all the same.
 
     """
@@ -182,4 +182,4 @@
     last_event: bytes
     scheme: str
     reserved: tuple[bytes, ...] = ()
-    from_callers: frozenset[bytes] = frozenset()
+    caller_settable: frozenset[bytes] = frozenset()
--- a/seampond/forwarding/request_encoding.py
+++ b/seampond/forwarding/request_encoding.py
@@ -39,7 +39,7 @@
     """
     if name in _HOP_HEADERS:
         return False
-    return name in names.from_callers or not name.startswith(names.reserved)
+    return name in names.caller_settable or not name.startswith(names.reserved)
 
 
 def encode_request(
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -15,7 +15,7 @@
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.connection import Connection
 from seampond.forwarding.forwarder import AbortedResponseError
-from seampond.forwarding.models import Kind
+from seampond.forwarding.models import RequestKind
 from seampond.forwarding.progress import Outcome, Progress
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.retries import RetryBudget
@@ -47,8 +47,8 @@
 )
 
 _LOAD_HEADER = NAMES.load.decode()
-_STREAM = build_route(kind=Kind.stream, may_resume=True)
-_ONCE = build_route(kind=Kind.once, attempts=2)
+_STREAM = build_route(kind=RequestKind.stream, may_resume=True)
+_ONCE = build_route(kind=RequestKind.once, attempts=2)
 Step = Callable[[Received, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -191,7 +191,7 @@
 
     async def test_broken_stream_that_may_not_resume_is_cut(self) -> None:
         """An answer that was cut never looks whole."""
-        route = build_route(kind=Kind.stream, attempts=2)
+        route = build_route(kind=RequestKind.stream, attempts=2)
         with self.assertRaises(AbortedResponseError):
             await self._forward(_break_stream, _end_stream, route=route)
         self.assertFalse(self._sink.is_whole)
@@ -199,7 +199,7 @@
 
     async def test_timeout_after_a_send(self) -> None:
         """504: it may have run."""
-        route = build_route(kind=Kind.once, timeout_ms=150)
+        route = build_route(kind=RequestKind.once, timeout_ms=150)
         with self.assertRaises(Refusal) as caught:
             await self._forward(_say_nothing, route=route)
         self.assertEqual(caught.exception.status, 504)
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -8,7 +8,7 @@
 from seampond.forwarding.backend import Backend, RemoteLoad
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.job import Prompt
-from seampond.forwarding.models import Kind
+from seampond.forwarding.models import RequestKind
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server_signals import ServerSignals
@@ -25,7 +25,7 @@
     until_true,
 )
 
-_STREAM = build_route(kind=Kind.stream, target_ms=1000)
+_STREAM = build_route(kind=RequestKind.stream, target_ms=1000)
 _SLOW = build_route(target_ms=20_000)
 _GRACE_MS = 1400
 
@@ -266,7 +266,7 @@
         slow.speed.gap_ms = 60
         fast.speed.gap_ms = 10
         fast.in_flight = 5
-        route = build_route(kind=Kind.stream, timeout_ms=5000)
+        route = build_route(kind=RequestKind.stream, timeout_ms=5000)
         prompt = Prompt(100, 800)
         for _ in range(2):
             placed = await scheduler.acquire(
@@ -306,7 +306,7 @@
         pausing.speed.note_pause(900)
         pausing.in_flight = 3
         other.in_flight = 5
-        route = build_route(kind=Kind.stream, pause_ms=400)
+        route = build_route(kind=RequestKind.stream, pause_ms=400)
         long = build_job(route=route, prompt=Prompt(6000, 10))
         self.assertIs(await scheduler.acquire(long, set()), other)
         short = build_job(route=route, prompt=Prompt(100, 10))
@@ -324,7 +324,7 @@
         """What nothing waits for is never too slow to be tried."""
         scheduler, backends = build_scheduler(8)
         backends[0].speed.gap_ms = 400
-        slow = build_route(kind=Kind.stream, target_ms=10)
+        slow = build_route(kind=RequestKind.stream, target_ms=10)
         job = build_job(route=slow, prompt=Prompt(60_000, 10))
         self.assertIs(await scheduler.acquire(job, set()), backends[0])
 
--- a/seampond/gateway/__main__.py
+++ b/seampond/gateway/__main__.py
@@ -15,7 +15,7 @@
 from seampond.logs import set_up_logs
 from seampond.run import run_daemon
 from seampond.settings.gateway import load_gateway
-from seampond.suspension import SteadyLoop
+from seampond.suspension import SuspensionAwareLoop
 
 _EXIT_USAGE = 2
 
@@ -33,7 +33,7 @@
         return _EXIT_USAGE
     logs = set_up_logs(settings.logs.level, process=settings.name)
     with closing(logs):
-        with asyncio.Runner(loop_factory=SteadyLoop) as runner:
+        with asyncio.Runner(loop_factory=SuspensionAwareLoop) as runner:
             runner.run(run_daemon(run_gateway, settings, read))
     return 0
 
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -350,7 +350,7 @@
         await stack.enter_async_context(_run_quarantine(components))
         await stack.enter_async_context(
             run_tasks(
-                watch_suspension(components.metrics.note_suspended, clock)
+                watch_suspension(components.metrics.record_suspension, clock)
             )
         )
         server = await stack.enter_async_context(
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -26,7 +26,7 @@
     put_order,
     read_state,
 )
-from seampond.suspension import SteadyLoop, watch_suspension
+from seampond.suspension import SuspensionAwareLoop, watch_suspension
 from seampond.testing.gateways import pick, until_true
 from seampond.testing.scripted import Received, make_chunk, write_chunks
 
@@ -77,7 +77,7 @@
             watch.cancel()
 
         with patch.object(clocks, 'read_steady_ns', sleeper.read):
-            with asyncio.Runner(loop_factory=SteadyLoop) as runner:
+            with asyncio.Runner(loop_factory=SuspensionAwareLoop) as runner:
                 runner.run(run())
         self.assertEqual(len(told), 1)
         self.assertAlmostEqual(told[0], 10 * MS_PER_SECOND, delta=100)
@@ -95,7 +95,7 @@
             await asyncio.sleep(0.05)
 
         with patch.object(clocks, 'read_steady_ns', sleeper.read):
-            with asyncio.Runner(loop_factory=SteadyLoop) as runner:
+            with asyncio.Runner(loop_factory=SuspensionAwareLoop) as runner:
                 runner.run(run())
         return fired
 
@@ -281,4 +281,4 @@
         )
 
     def _setupAsyncioRunner(self) -> None:
-        self._asyncioRunner = asyncio.Runner(loop_factory=SteadyLoop)
+        self._asyncioRunner = asyncio.Runner(loop_factory=SuspensionAwareLoop)
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -11,7 +11,7 @@
 
 from seampond.clock import ManualClock
 from seampond.forwarding.backend import Backend
-from seampond.forwarding.models import Kind, Route
+from seampond.forwarding.models import RequestKind, Route
 from seampond.forwarding.progress import AttemptRecord, Outcome
 from seampond.gateway.versions import RolloutVersions
 from seampond.rollouts import RolloutManager
@@ -132,5 +132,5 @@
 
     def test_the_first_event_counts_likewise(self) -> None:
         """Where a stream has too few events to tell the time between them."""
-        route = build_route(target_ms=1000, kind=Kind.stream)
+        route = build_route(target_ms=1000, kind=RequestKind.stream)
         self.assertEqual(self.count_bad(route, *_SEEN_MS), 0)
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -142,7 +142,7 @@
         compute_grace_ms(bounds),
         lambda pool: connection_limit(configuration_state, peers, pool),
         hash_name,
-        lambda word: metrics.words.labels(word).inc(),
+        lambda word: metrics.server_signals.labels(word).inc(),
     )
     store_time = StoreClock()
     rollouts = make_rollouts(
--- a/seampond/logs.py
+++ b/seampond/logs.py
@@ -25,7 +25,7 @@
 _END_SECONDS = 0.5
 
 
-class LineBudget(logging.Filter):
+class LineRateLimiter(logging.Filter):
     """Lets so many lines of one kind through in a second.
 
     Explanation
@@ -36,7 +36,7 @@
 
     Examples
     --------
-    >>> budget = LineBudget(2, lambda: 7.0)
+    >>> budget = LineRateLimiter(2, lambda: 7.0)
     >>> record = logging.LogRecord('x', 20, '', 0, 'served', None, None)
     >>> [budget.filter(record) for _ in range(3)]
     [True, True, False]
@@ -62,23 +62,23 @@
         if record.levelno < logging.WARNING:
             self._counts[record.msg] += 1
             if self._counts[record.msg] > self._per_second:
-                self.note_dropped()
+                self.record_dropped()
                 return False
         return True
 
-    def take_untold(self) -> int:
+    def take_unreported_count(self) -> int:
         """Give how many lines were dropped since this was asked last."""
         untold = self._untold
         self._untold = 0
         return untold
 
-    def note_dropped(self) -> None:
+    def record_dropped(self) -> None:
         """Count a line that is not written."""
         self.dropped += 1
         self._untold += 1
 
 
-class BoundedHandler(QueueHandler):
+class BoundedQueueHandler(QueueHandler):
     """Hands lines to a thread that writes them; never waits for it.
 
     Explanation
@@ -88,7 +88,9 @@
     """
 
     def __init__(
-        self, lines: 'queue.Queue[logging.LogRecord | None]', budget: LineBudget
+        self,
+        lines: 'queue.Queue[logging.LogRecord | None]',
+        budget: LineRateLimiter,
     ) -> None:
         """Keep the queue."""
         super().__init__(lines)
@@ -112,12 +114,12 @@
         """Put a line on the queue, or drop it."""
         is_routine = record.levelno < logging.WARNING
         if is_routine and self._lines.qsize() > _ROUTINE_MAX:
-            self._budget.note_dropped()
+            self._budget.record_dropped()
             return
         if self._lines.full():
-            self._budget.note_dropped()
+            self._budget.record_dropped()
             return
-        untold = self._budget.take_untold()
+        untold = self._budget.take_unreported_count()
         if untold:
             record.dropped_lines = untold
         self._lines.put_nowait(record)
@@ -130,8 +132,8 @@
         """Start the thread; each line names the process."""
         lines: queue.Queue[logging.LogRecord | None]
         lines = queue.Queue(_LINES_MAX)
-        budget = LineBudget(_ROUTINE_PER_SECOND, time.monotonic)
-        self.handler = BoundedHandler(lines, budget)
+        budget = LineRateLimiter(_ROUTINE_PER_SECOND, time.monotonic)
+        self.handler = BoundedQueueHandler(lines, budget)
         self._lines = lines
         self._target = logging.StreamHandler(stream)
         self._target.setFormatter(
--- a/seampond/metrics/gateway.py
+++ b/seampond/metrics/gateway.py
@@ -32,7 +32,7 @@
             'Calls to the store that failed, by step.',
             'step',
         )
-        self.words = self.count(
+        self.server_signals = self.count(
             'seampond_server_words',
             'Words of servers on themselves: a leave, rest, a limit.',
             'word',
@@ -85,6 +85,6 @@
             registry=self.registry,
         )
 
-    def note_suspended(self, away_ms: int) -> None:
+    def record_suspension(self, away_ms: int) -> None:
         """Count the time in which the machine was suspended."""
         self.suspended.inc(away_ms)
--- a/seampond/platform/configuration.py
+++ b/seampond/platform/configuration.py
@@ -12,9 +12,9 @@
 
 _KINDS = MappingProxyType(
     {
-        'idempotent': models.Kind.idempotent,
-        'non_idempotent': models.Kind.once,
-        'streaming': models.Kind.stream,
+        'idempotent': models.RequestKind.idempotent,
+        'non_idempotent': models.RequestKind.once,
+        'streaming': models.RequestKind.stream,
     }
 )
 _TARGET_MS = 1000
@@ -82,23 +82,23 @@
 
 def _read_route(route: _Route) -> models.Route:
     shares = tuple(
-        models.Share(split.service, split.weight)
+        models.PoolShare(split.service, split.weight)
         for split in route.traffic_split
         if split.weight > 0
     )
-    kind = _KINDS.get(route.kind, models.Kind.once)
+    kind = _KINDS.get(route.kind, models.RequestKind.once)
     return models.Route(
         name=route.name,
         host=route.host.lower(),
         prefix=route.path_prefix,
         kind=kind,
-        shares=shares or (models.Share(route.service, 1),),
+        shares=shares or (models.PoolShare(route.service, 1),),
         timeout_ms=route.timeout_ms,
         target_ms=route.target_latency_ms,
         priority=route.priority,
         attempts=max(1, route.max_attempts),
         is_public=route.public,
-        may_resume=route.stream_resume and kind is models.Kind.stream,
+        may_resume=route.stream_resume and kind is models.RequestKind.stream,
         pause_ms=route.target_gap_ms,
     )
 
@@ -109,7 +109,7 @@
         priority=tenant.priority,
         rate=tenant.rate_per_s,
         burst=tenant.burst,
-        plain_units=tenant.plain_tokens,
+        units_per_request=tenant.plain_tokens,
         counts_tokens=tenant.unit == names.TOKENS_UNIT,
     )
 
@@ -153,10 +153,10 @@
         pools={pool.name: pool for pool in pools},
         keys=dict(_read_keys(whole.tenants)),
         has_tenants=bool(whole.tenants),
-        limits=models.Limits(
+        limits=models.RequestLimits(
             header_bytes=whole.limits.max_header_bytes,
             body_bytes=whole.limits.max_body_bytes,
-            header_ms=whole.limits.header_timeout_ms,
-            idle_ms=whole.limits.idle_timeout_ms,
+            header_timeout_ms=whole.limits.header_timeout_ms,
+            idle_timeout_ms=whole.limits.idle_timeout_ms,
         ),
     )
--- a/seampond/platform/names.py
+++ b/seampond/platform/names.py
@@ -24,7 +24,7 @@
     # Holds, pins, copies and moves of a server's memory, the server and the
     # version that are expected, the workspace, the time left.
     reserved=(b'x-seampond-', b'kv-'),
-    from_callers=frozenset(
+    caller_settable=frozenset(
         (
             _REQUEST_ID,
             _TOKENS,
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -10,7 +10,7 @@
 import seampond
 from seampond.clock import Clock
 from seampond.errors import ConflictError, CutAnswerError, PlatformError
-from seampond.forwarding.models import Kind
+from seampond.forwarding.models import RequestKind
 from seampond.platform import (
     names,
     open_table,
@@ -77,12 +77,12 @@
         self.assertEqual(whole.version, 7)
         first = whole.find_route('a.example', '/x/z')
         assert first is not None
-        self.assertEqual((first.name, first.kind), ('r1', Kind.stream))
+        self.assertEqual((first.name, first.kind), ('r1', RequestKind.stream))
         self.assertEqual([share.weight for share in first.shares], [90, 10])
         self.assertTrue(first.may_repeat)
         tenant = whole.find_tenant('k2')
         assert tenant is not None
-        self.assertEqual((tenant.rate, tenant.plain_units), (1000, 200))
+        self.assertEqual((tenant.rate, tenant.units_per_request), (1000, 200))
         self.assertIsNone(whole.find_tenant('k3'))
         self.assertTrue(whole.pools['s1'].is_engine)
         self.assertEqual(whole.limits.body_bytes, 6)
--- a/seampond/suspension.py
+++ b/seampond/suspension.py
@@ -13,7 +13,7 @@
 _logger = logging.getLogger(__name__)
 
 
-class SteadyLoop(asyncio.SelectorEventLoop):
+class SuspensionAwareLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers count the time of a suspension.
 
     Explanation
@@ -28,7 +28,7 @@
         return clocks.read_steady_ns() / NS_PER_SECOND
 
 
-def measure_away_ms() -> int:
+def measure_suspended_ms() -> int:
     """Give how long the machine was suspended since its start."""
     away_ns = clocks.read_steady_ns() - clocks.read_awake_ns()
     return away_ns // NS_PER_MS
@@ -40,10 +40,10 @@
         _logger.warning(
             'no clock counts suspended time; the monotonic one is used'
         )
-    before_ms = measure_away_ms()
+    before_ms = measure_suspended_ms()
     while True:
         await clock.sleep(_LOOK_MS)
-        away_ms = measure_away_ms()
+        away_ms = measure_suspended_ms()
         if away_ms - before_ms >= _LEAST_MS:
             note(away_ms - before_ms)
             _logger.warning(
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -11,9 +11,9 @@
 from seampond.forwarding.job import Job, Prompt
 from seampond.forwarding.models import (
     HeaderNames,
-    Kind,
+    PoolShare,
+    RequestKind,
     Route,
-    Share,
     Tenant,
 )
 from seampond.forwarding.progress import Progress
@@ -52,7 +52,7 @@
     last_event=b'last-event-id',
     scheme='token',
     reserved=(b'x-test-',),
-    from_callers=frozenset(
+    caller_settable=frozenset(
         (ID_HEADER.encode(), b'x-test-tokens', b'x-test-prompt')
     ),
 )
@@ -89,8 +89,8 @@
         'name': 'r',
         'host': 'a.example',
         'prefix': '/x/',
-        'kind': Kind.idempotent,
-        'shares': (Share(POOL, 1),),
+        'kind': RequestKind.idempotent,
+        'shares': (PoolShare(POOL, 1),),
         'timeout_ms': 5000,
         'target_ms': 1000,
         'priority': 1,
