--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -35,7 +35,7 @@
     return False
 
 
-class Charge(Protocol):
+class ChargeFunction(Protocol):
     """Charges a quota."""
 
     def __call__(
@@ -52,20 +52,20 @@
     ----------
     proved_ms : int or None
         The latest moment at which it was surely the newest, None for never.
-    is_behind : Callable[[], bool]
+    is_outdated : Callable[[], bool]
         Tells whether there is a newer one that we do not hold.
 
     """
 
     configuration: Configuration | None = None
     proved_ms: int | None = None
-    is_behind: Callable[[], bool] = _never
+    is_outdated: Callable[[], bool] = _never
 
     def may_deny(self, now_ms: int) -> bool:
         """Tell whether what it does not allow is surely not allowed."""
         age_ms = self.proof_age_ms(now_ms)
         is_proved = age_ms is not None and age_ms <= _DENY_PROOF_MS
-        return is_proved and not self.is_behind()
+        return is_proved and not self.is_outdated()
 
     def proof_age_ms(self, now_ms: int) -> int | None:
         """Give how long ago it was proved the newest, None for never."""
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Arrival:
+class RequestHead:
     """The head of a request that has just come."""
 
     method: bytes
@@ -89,7 +89,7 @@
         return b''
 
 
-def pick_pool(route: Route, rng: random.Random) -> str:
+def choose_pool(route: Route, rng: random.Random) -> str:
     """Give a pool of the route, each as often as its weight says."""
     if len(route.shares) == 1:
         return route.shares[0].pool
@@ -106,7 +106,7 @@
         How old the proof of the configuration may be for a request with a
         key, which may have been taken away since; None for any age, where a
         removed key may be served while the store cannot be reached.
-    charge : Charge
+    charge : ChargeFunction
         Charges a quota for work of an urgency; gives the wait in
         milliseconds where it is used up.
     has_spare_capacity : Callable[[str], bool]
@@ -122,7 +122,7 @@
         names: HeaderNames,
         clock: Clock,
         proof_ms: int | None,
-        charge: Charge,
+        charge: ChargeFunction,
         refund: Callable[[Tenant, float], None],
         has_spare_capacity: Callable[[str], bool],
     ) -> None:
@@ -182,7 +182,7 @@
                 Cause.unproved, step='proof', retry_after_ms=_STALE_MS
             )
 
-    def admit(self, arrival: Arrival, body: bytes) -> Job:
+    def admit(self, arrival: RequestHead, body: bytes) -> Job:
         """Make the job of a request that the configuration allows.
 
         Raises
@@ -212,14 +212,14 @@
         self.check_proof(job)
         self._check_quota(job)
 
-    def note_not_run(self, job: Job) -> None:
+    def refund(self, job: Job) -> None:
         """Take the charge of a request back that no server has run."""
         if job.tenant is not None and job.charged_units:
             self._refund(job.tenant, job.charged_units)
             job.charged_units = 0
 
     def _find_route(
-        self, configuration: Configuration, arrival: Arrival
+        self, configuration: Configuration, arrival: RequestHead
     ) -> Route:
         host = arrival.get(b'host').decode('latin-1').partition(':')[0].lower()
         path = arrival.target.partition(b'?')[0].decode('latin-1')
@@ -229,7 +229,7 @@
         return route
 
     def _find_tenant(
-        self, configuration: Configuration, route: Route, arrival: Arrival
+        self, configuration: Configuration, route: Route, arrival: RequestHead
     ) -> Tenant | None:
         if route.is_public or not configuration.has_tenants:
             return None
@@ -255,7 +255,7 @@
 
     def _make_job(
         self,
-        arrival: Arrival,
+        arrival: RequestHead,
         body: bytes,
         route: Route,
         tenant: Tenant | None,
@@ -280,7 +280,7 @@
             body=body,
             route=route,
             tenant=tenant,
-            pool=pick_pool(route, self._rng),
+            pool=choose_pool(route, self._rng),
             priority=priority,
             arrived_ms=arrival.arrived_ms,
             max_wait_ms=max_wait_ms,
--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -11,7 +11,7 @@
 from starlette.types import Message, Receive, Scope, Send
 
 from seampond.clock import MS_PER_SECOND, Clock
-from seampond.forwarding.admission import Admission, Arrival
+from seampond.forwarding.admission import Admission, RequestHead
 from seampond.forwarding.caller_protocol import ON_DISCONNECT_KEY, TARGET_KEY
 from seampond.forwarding.forwarder import AbortedResponseError, Forwarder
 from seampond.forwarding.job import Job
@@ -141,7 +141,7 @@
         self._progress: Progress | None = None
         self._body_bytes = 0
         extensions = scope['extensions']
-        self._arrival = Arrival(
+        self._arrival = RequestHead(
             scope['method'].encode(),
             extensions[TARGET_KEY],
             scope['headers'],
@@ -261,7 +261,7 @@
 
     def _note_not_run(self) -> None:
         if self._progress and not self._progress.job.may_have_run:
-            self._web.admission.note_not_run(self._progress.job)
+            self._web.admission.refund(self._progress.job)
 
     async def _read_body(self, receive: Receive) -> bytes:
         limits = self._web.admission.limits
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -9,6 +9,11 @@
 from seampond.forwarding.backend import Backend, LoadReport
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.connection import Connection
+from seampond.forwarding.cost_model import (
+    count_pending_tokens,
+    estimate_first_byte_ms,
+    record_cached,
+)
 from seampond.forwarding.models import HeaderNames
 from seampond.forwarding.progress import (
     AttemptRecord,
@@ -22,11 +27,6 @@
     ResponseHead,
     parse_keep_alive_ms,
 )
-from seampond.forwarding.selection import (
-    count_pending_tokens,
-    expect_first_ms,
-    record_cached,
-)
 from seampond.forwarding.server_signals import parse_signals
 from seampond.promises import Promises, Rule
 from seampond.quarantine import format_fingerprint
@@ -70,8 +70,8 @@
         self.record = AttemptRecord(
             backend.server.id,
             load - 1,
-            pool.pace(backend.speed),
-            round(expect_first_ms(backend, job, pool, now_ms, load)),
+            pool.slowdown(backend.speed),
+            round(estimate_first_byte_ms(backend, job, pool, now_ms, load)),
             version=backend.server.version,
         )
         self.progress.attempt_records.append(self.record)
@@ -136,7 +136,7 @@
     def _is_permitted(self, now_ms: int) -> bool:
         """Whether the server has no limit, or we hold a permit."""
         permit = self.progress.job.permit
-        if not self.backend.signals.limit.is_named:
+        if not self.backend.signals.limit.is_set:
             return True
         return permit is not None and permit.may_send(now_ms)
 
@@ -249,10 +249,10 @@
         if job.is_stream:
             record_cached(backend, job)
             pool = self.backends.pool_speed(job.pool)
-            expected_ms = self.record.expected_first_byte_ms / pool.first_factor
-            pool.note_first(self.record.first_byte_ms, expected_ms)
+            expected_ms = self.record.expected_first_byte_ms / pool.ttfb_factor
+            pool.record_first_event(self.record.first_byte_ms, expected_ms)
         else:
-            backend.speed.note_service(self.record.first_byte_ms)
+            backend.speed.record_service(self.record.first_byte_ms)
             self.backends.refresh_pool_speed(job.pool)
 
     def _note_part(self, parts: int) -> None:
@@ -271,16 +271,16 @@
             self.record.mean_gap_ms = took_ms / (parts - 1)
         if parts % _PARTS_TO_LEARN:
             return
-        self.backend.speed.note_gap(self.record.mean_gap_ms)
+        self.backend.speed.record_gap(self.record.mean_gap_ms)
         self.backends.refresh_pool_speed(self.progress.job.pool)
 
     def _note_stream(self, parts: int) -> None:
         """Learn from a whole stream."""
         job = self.progress.job
-        self.backend.speed.note_pause(self.record.longest_gap_ms)
+        self.backend.speed.record_pause(self.record.longest_gap_ms)
         if job.attempts == 1:
             pool = self.backends.pool_speed(job.pool)
-            pool.note_whole(job.prompt.answer_tokens, parts)
+            pool.record_stream(job.prompt.answer_tokens, parts)
 
     def _check_stamp(self, head: ResponseHead) -> None:
         is_success = head.status < HTTPStatus.BAD_REQUEST
--- a/seampond/forwarding/availability.py
+++ b/seampond/forwarding/availability.py
@@ -6,9 +6,9 @@
 from seampond.clock import Clock
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.job import Job
-from seampond.forwarding.permits import NO_PERMITS, Permits
+from seampond.forwarding.permits import NO_PERMIT_SOURCE, PermitSource
 from seampond.forwarding.queues import Queue, Waiter
-from seampond.forwarding.retry_times import LATEST_MS
+from seampond.forwarding.retry_times import MAX_RETRY_AFTER_MS
 from seampond.forwarding.server_limit import Permit
 
 # What a request leaves to more urgent ones of its time to wait, for each part
@@ -24,41 +24,41 @@
 
     Attributes
     ----------
-    permits : Permits
+    permits : PermitSource
         Gives leave to send to servers that name a limit.
 
     """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         """Start without anybody who gives permits."""
-        self.permits: Permits = NO_PERMITS
+        self.permits: PermitSource = NO_PERMIT_SOURCE
         self._clock = clock
         self._rng = rng
 
     def is_available(self, backend: Backend, *, for_retry: bool) -> bool:
         """Whether a server takes a request that has a place there now."""
-        if not backend.signals.limit.is_named:
+        if not backend.signals.limit.is_set:
             return True
         if self.permits.may_send(backend, for_retry=for_retry):
             return True
         self.permits.probe_limit(backend)
         return False
 
-    def take(self, backend: Backend, job: Job) -> Permit | None:
+    def acquire_permit(self, backend: Backend, job: Job) -> Permit | None:
         """Take up a permit, where a server names a limit."""
-        if backend.signals.limit.is_named:
-            return self.permits.take(backend, for_retry=job.is_retry)
+        if backend.signals.limit.is_set:
+            return self.permits.acquire(backend, for_retry=job.is_retry)
         return None
 
     def available_ms(self, backend: Backend, *, for_retry: bool = False) -> int:
         """Give when a server opens that rests or names a limit."""
         available_ms = backend.signals.backoff_until_ms
-        if backend.signals.limit.is_named:
+        if backend.signals.limit.is_set:
             permit_ms = self.permits.available_ms(backend, for_retry=for_retry)
             available_ms = max(available_ms, permit_ms)
         return available_ms
 
-    def first_ms(self, known: Iterable[Backend]) -> int | None:
+    def earliest_available_ms(self, known: Iterable[Backend]) -> int | None:
         """Give when the first of some servers opens.
 
         Returns
@@ -79,7 +79,7 @@
             return None
         return max(now_ms, min(map(self.available_ms, closed)))
 
-    def sum_rates(self, known: Iterable[Backend]) -> float:
+    def total_rate(self, known: Iterable[Backend]) -> float:
         """Give what servers take together by their limits, 0 without any."""
         return sum(backend.signals.limit.rate or 0 for backend in known)
 
@@ -108,10 +108,12 @@
             and not one.is_draining
         ]
         free = [
-            one for one in limited if one.signals.limit.full_until_ms <= now_ms
+            one
+            for one in limited
+            if one.signals.limit.reservations_full_until_ms <= now_ms
         ]
         if limited and not free:
-            return LATEST_MS
+            return MAX_RETRY_AFTER_MS
         self._rng.shuffle(free)
         for backend in free[:_RESERVE_TRIES]:
             wait_ms = await self.permits.reserve(backend)
@@ -119,7 +121,7 @@
                 return wait_ms
         return None
 
-    def ask(self, queue: Queue, known: Sequence[Backend]) -> None:
+    def request_permits(self, queue: Queue, known: Sequence[Backend]) -> None:
         """Ask for permits for those that wait and have none coming.
 
         Parameters
@@ -129,18 +131,18 @@
 
         """
         now_ms = self._clock.now()
-        limited = [one for one in known if one.signals.limit.is_named]
+        limited = [one for one in known if one.signals.limit.is_set]
         if not limited:
             return
         for waiter in _without(queue.waiters, _count_coming(limited, now_ms)):
             max_wait_ms = self._bear_ms(queue, waiter, now_ms)
             best = self._choose(limited, waiter, now_ms + max_wait_ms)
             if best is not None:
-                self.permits.ask(
+                self.permits.request(
                     best, max_wait_ms, for_retry=waiter.job.is_retry
                 )
 
-    def list_hopeless(
+    def find_hopeless(
         self, queue: Queue, known: Sequence[Backend]
     ) -> list[Waiter]:
         """Give those that wait for what cannot come in time."""
@@ -168,10 +170,10 @@
             > now_ms + self._bear_ms(queue, waiter, now_ms)
         ]
 
-    def next_ms(self, known: Iterable[Backend]) -> int | None:
+    def next_check_ms(self, known: Iterable[Backend]) -> int | None:
         """Give when to look again for a permit, None where none may come."""
         now_ms = self._clock.now()
-        times = (one.signals.limit.next_ms(now_ms) for one in known)
+        times = (one.signals.limit.next_event_ms(now_ms) for one in known)
         return min((one for one in times if one is not None), default=None)
 
     def _choose(
@@ -181,7 +183,7 @@
         best: tuple[int, float, Backend] | None = None
         for backend in limited:
             limit = backend.signals.limit
-            if limit.asked_ms is not None:
+            if limit.requested_ms is not None:
                 continue
             if backend.server.id in waiter.avoid:
                 continue
@@ -195,12 +197,12 @@
 
     def _bear_ms(self, queue: Queue, waiter: Waiter, now_ms: int) -> int:
         """Give how long a request waits for a permit at the most."""
-        part = 1 - _LEAVES * queue.headroom.give_part(waiter.job)
+        part = 1 - _LEAVES * queue.headroom.reserved_fraction(waiter.job)
         return round(max(0, waiter.until_ms - now_ms) * part)
 
 
 def _count_coming(limited: Iterable[Backend], now_ms: int) -> int:
-    return sum(one.signals.limit.count_coming(now_ms) for one in limited)
+    return sum(one.signals.limit.count_expected(now_ms) for one in limited)
 
 
 def _without(waiters: Sequence[Waiter], first: int) -> list[Waiter]:
--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -102,8 +102,8 @@
     @property
     def takes_work(self) -> bool:
         """Whether the list and its own words let us send to it."""
-        is_named = self.is_listed and self.is_readable
-        return is_named and not self.is_draining
+        is_set = self.is_listed and self.is_readable
+        return is_set and not self.is_draining
 
     @property
     def is_draining(self) -> bool:
@@ -128,13 +128,11 @@
 
     def is_restricted(self, now_ms: int) -> bool:
         """Whether a limit or a rest keeps requests from it."""
-        return self.signals.limit.is_named or self.signals.is_backing_off(
-            now_ms
-        )
+        return self.signals.limit.is_set or self.signals.is_backing_off(now_ms)
 
     def may_send_without_permit(self, now_ms: int) -> bool:
         """Whether nothing but its load closes its places."""
-        return self.may_send(now_ms) and not self.signals.limit.is_named
+        return self.may_send(now_ms) and not self.signals.limit.is_set
 
     def is_usable(self, now_ms: int) -> bool:
         """Whether to send to it now."""
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -195,14 +195,14 @@
         self._signals.apply(
             backend.server, backend.signals, reported, self.grace_ms, sent_ms
         )
-        if limit.said_ms == sent_ms:
+        if limit.reported_ms == sent_ms:
             key = self._hash_name(backend.server.incarnation)
             self.on_limit(key, limit, is_other=limit.rate != before)
         if reported.is_draining:
             backend.close_idle_connections()
 
     def apply_limit_report(
-        self, key: int, rate: float | None, said_ms: int
+        self, key: int, rate: float | None, reported_ms: int
     ) -> ServerLimit | None:
         """Take what another gateway has heard of a limit; give what holds.
 
@@ -216,7 +216,7 @@
         if backend is None:
             return None
         signals = backend.signals
-        self._signals.apply_limit(backend.server, signals, rate, said_ms)
+        self._signals.apply_limit(backend.server, signals, rate, reported_ms)
         return signals.limit
 
     async def acquire_connection(self, backend: Backend) -> Connection:
--- a/seampond/forwarding/capacity.py
+++ b/seampond/forwarding/capacity.py
@@ -19,36 +19,36 @@
 
     Parameters
     ----------
-    gateways : int
+    gateway_count : int
         How many share the servers.
-    bound : int
+    max_in_flight : int
         How many requests we may have on one server.
-    free_part : float
+    reserved_fraction : float
         The part of the slots that is left free.
-    extra : int
+    extra_slots : int
         The places beyond the slots.
 
     """
 
-    gateways: int
-    bound: int
-    free_part: float
-    extra: int
+    gateway_count: int
+    max_in_flight: int
+    reserved_fraction: float
+    extra_slots: int
 
-    def takes(self, backend: Backend, now_ms: int) -> bool:
+    def accepts(self, backend: Backend, now_ms: int) -> bool:
         """Whether a server is used and has a place for one more of ours."""
         if not backend.is_usable(now_ms):
             return False
-        return self.has_place(backend, backend.load(now_ms))
+        return self.has_slot(backend, backend.load(now_ms))
 
-    def has_place(self, backend: Backend, load: int) -> bool:
+    def has_slot(self, backend: Backend, load: int) -> bool:
         """Whether a server has a place for one more of ours."""
-        if backend.in_flight >= self.bound:
+        if backend.in_flight >= self.max_in_flight:
             return False
         slots = backend.server.slots
-        slots -= round(self.free_part * slots)
-        share = slots // self.gateways
+        slots -= round(self.reserved_fraction * slots)
+        share = slots // self.gateway_count
         if backend.in_flight < share:
             return True
-        beyond = 0 if share else self.extra
+        beyond = 0 if share else self.extra_slots
         return load < slots + beyond
--- a/seampond/forwarding/selection.py
+++ b/seampond/forwarding/cost_model.py
@@ -45,7 +45,7 @@
         parts.pop(next(iter(parts)))
 
 
-def expect_first_ms(
+def estimate_first_byte_ms(
     backend: Backend, job: Job, pool: PoolSpeed, now_ms: int, load: int
 ) -> float:
     """Give the time to the first byte of an answer.
@@ -72,11 +72,11 @@
     ) + backend.pending_tokens(now_ms)
     model_ms = _FIRST_MS + pending_tokens / _TOKENS_PER_MS + _RUNNING_MS * load
     model_ms += _QUEUED_MS * over
-    first_ms = pool.pace(backend.speed) * pool.first_factor * model_ms
+    first_ms = pool.slowdown(backend.speed) * pool.ttfb_factor * model_ms
     return max(first_ms, float(backend.longest_wait_ms(now_ms)))
 
 
-def rate_backend(
+def compute_cost_ms(
     backend: Backend,
     job: Job,
     pool: PoolSpeed,
@@ -102,22 +102,24 @@
     if backend.server.zone != zone:
         cost_ms += _OTHER_ZONE_PART * job.route.target_ms
     if job.is_stream:
-        made_ms = expect_made_ms(backend, job, pool)
+        made_ms = estimate_generation_ms(backend, job, pool)
         if now_ms + cost_ms + made_ms > job.deadline_ms:
             cost_ms += _TOO_SLOW_MS
         cost_ms += _MADE_PART * made_ms
-        cost_ms += _rate_stall(backend, job, now_ms)
+        cost_ms += _stall_cost_ms(backend, job, now_ms)
     return cost_ms
 
 
-def expect_made_ms(backend: Backend, job: Job, pool: PoolSpeed) -> float:
+def estimate_generation_ms(
+    backend: Backend, job: Job, pool: PoolSpeed
+) -> float:
     """Give the time from the first byte of an answer to its end."""
     if not job.is_stream:
         return 0
     return job.prompt.answer_tokens * pool.token_ms(backend.speed)
 
 
-def _rate_stall(backend: Backend, job: Job, now_ms: int) -> float:
+def _stall_cost_ms(backend: Backend, job: Job, now_ms: int) -> float:
     """Give the cost of a long prompt to the streams beside it.
 
     Explanation
@@ -132,7 +134,7 @@
     return _STALL_MS * backend.load(now_ms)
 
 
-def expect_least_ms(job: Job) -> float:
+def min_first_byte_ms(job: Job) -> float:
     """Give the time to the first byte that no server betters by much."""
     if not job.is_stream:
         return 0
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -110,7 +110,7 @@
                 raise Refusal(
                     Cause.not_run,
                     step=_STEP,
-                    retry_after_ms=scheduler.retry_after_ms(job),
+                    retry_after_ms=scheduler.compute_retry_after_ms(job),
                 )
 
     async def _attempt(self, progress: Progress, backend: Backend) -> Outcome:
@@ -170,5 +170,5 @@
         return Refusal(
             Cause.waited_too_long,
             step=_STEP,
-            retry_after_ms=self._parts.scheduler.retry_after_ms(job),
+            retry_after_ms=self._parts.scheduler.compute_retry_after_ms(job),
         )
--- a/seampond/forwarding/headroom.py
+++ b/seampond/forwarding/headroom.py
@@ -33,16 +33,16 @@
     tiers: set[int] = field(default_factory=set)
     kinds: set[int] = field(default_factory=set)
 
-    def note(self, job: Job) -> None:
+    def record(self, job: Job) -> None:
         """Note the ranks of a request."""
         self.tiers.add(job.priority)
         self.kinds.add(job.route.priority)
 
-    def count_free(self, job: Job, slots: int) -> int:
+    def count_reserved(self, job: Job, slots: int) -> int:
         """Give how many of a server's slots a request leaves free."""
-        return round(self.give_part(job) * slots)
+        return round(self.reserved_fraction(job) * slots)
 
-    def give_part(self, job: Job) -> float:
+    def reserved_fraction(self, job: Job) -> float:
         """Give the part of a server's slots that a request leaves free."""
         if job.has_streamed or not zlib.crc32(job.request_id) % _FREE_IN:
             return 0
--- a/seampond/forwarding/permits.py
+++ b/seampond/forwarding/permits.py
@@ -6,7 +6,7 @@
 from seampond.forwarding.server_limit import Permit
 
 
-class Permits(Protocol):
+class PermitSource(Protocol):
     """Gives permits, or asks who gives them.
 
     Explanation
@@ -18,10 +18,10 @@
     def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
         """Whether a request may be sent to a server with a limit now."""
 
-    def take(self, backend: Backend, *, for_retry: bool) -> Permit | None:
+    def acquire(self, backend: Backend, *, for_retry: bool) -> Permit | None:
         """Take up a permit to send now."""
 
-    def ask(
+    def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
@@ -43,18 +43,18 @@
         """
 
 
-class NoPermits:
+class NoPermitSource:
     """Keeps servers with a limit closed."""
 
     def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
         """Allow none."""
         return False
 
-    def take(self, backend: Backend, *, for_retry: bool) -> Permit | None:
+    def acquire(self, backend: Backend, *, for_retry: bool) -> Permit | None:
         """Give one that has ended."""
         return Permit(0, 0)
 
-    def ask(
+    def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
         """Ask nobody."""
@@ -70,4 +70,4 @@
         """Ask nobody."""
 
 
-NO_PERMITS = NoPermits()
+NO_PERMIT_SOURCE = NoPermitSource()
--- a/seampond/forwarding/queues.py
+++ b/seampond/forwarding/queues.py
@@ -37,24 +37,24 @@
 
     Parameters
     ----------
-    returns : RetrySchedule
+    retry_schedule : RetrySchedule
         What those that limits turned away were told.
-    next_ms : int or None
+    next_check_ms : int or None
         When to look again for a permit, None where none may come.
 
     """
 
     headroom: Headroom = field(default_factory=Headroom)
     waiters: list[Waiter] = field(default_factory=list)
-    returns: RetrySchedule = field(default_factory=RetrySchedule)
-    next_ms: int | None = None
+    retry_schedule: RetrySchedule = field(default_factory=RetrySchedule)
+    next_check_ms: int | None = None
 
     @property
     def lowest_tier(self) -> int:
         """The lowest rank of a tenant that waits, 0 if nobody does."""
         return max((known.job.priority for known in self.waiters), default=0)
 
-    def enter(self, job: Job, avoid: set[str], until_ms: int) -> Waiter:
+    def add(self, job: Job, avoid: set[str], until_ms: int) -> Waiter:
         """Let a request wait in its order."""
         waiter = Waiter(
             job,
@@ -67,7 +67,7 @@
         self.waiters.sort(key=_order)
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Let a request wait no longer, if it still does."""
         if waiter in self.waiters:
             self.waiters.remove(waiter)
--- a/seampond/forwarding/retry_times.py
+++ b/seampond/forwarding/retry_times.py
@@ -20,8 +20,8 @@
 # A caller heeds no later time.
 _LEFT_PART = 0.3
 # Of what limits allow, what is kept for those that were told to come back.
-KEPT_PART = 0.35
-LATEST_MS = 60_000
+RETRY_SHARE = 0.35
+MAX_RETRY_AFTER_MS = 60_000
 
 
 def spread_retry_ms(job: Job, now_ms: int, draw: float) -> int:
@@ -62,7 +62,7 @@
     next_ms: int = 0
     rate: float = 0
 
-    def book(self, available_ms: int, rate: float) -> int:
+    def reserve(self, available_ms: int, rate: float) -> int:
         """Give a time that no other caller is told.
 
         Parameters
@@ -74,8 +74,8 @@
 
         Examples
         --------
-        >>> times = RetrySchedule()
-        >>> [times.book(1000, 4), times.book(1000, 4), times.book(1200, 4)]
+        >>> schedule = RetrySchedule()
+        >>> [schedule.reserve(start_ms, 4) for start_ms in (1000, 1000, 1200)]
         [1000, 1714, 2428]
 
         """
@@ -83,6 +83,6 @@
             self.rate = rate
             self.next_ms = available_ms
         booked_ms = max(available_ms, self.next_ms)
-        booked_ms = min(booked_ms, available_ms + LATEST_MS)
-        self.next_ms = booked_ms + round(MS_PER_SECOND / (rate * KEPT_PART))
+        booked_ms = min(booked_ms, available_ms + MAX_RETRY_AFTER_MS)
+        self.next_ms = booked_ms + round(MS_PER_SECOND / (rate * RETRY_SHARE))
         return booked_ms
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -50,7 +50,7 @@
         How many gateways share the servers.
     versions : VersionPolicy
         Which versions of the servers' software a request may go to.
-    give_return_ms : RetryAfterFunction
+    compute_retry_ms : RetryAfterFunction
         After how long who is turned away should come back, by the request,
         the time and a number drawn from 0 to 1.
 
@@ -69,7 +69,7 @@
         count_gateways: Callable[[], int],
         promises: Promises,
         versions: VersionPolicy = ANY_VERSION,
-        give_return_ms: RetryAfterFunction = spread_retry_ms,
+        compute_retry_ms: RetryAfterFunction = spread_retry_ms,
     ) -> None:
         """Start with nobody waiting."""
         self._backends = backends
@@ -78,7 +78,7 @@
         self._count_gateways = count_gateways
         self._promises = promises
         self._versions = versions
-        self._give_return_ms = give_return_ms
+        self._compute_retry_ms = compute_retry_ms
         self._queues: dict[str, Queue] = {}
         self._rng = random.Random()
         self.availability = Availability(clock, self._rng)
@@ -123,12 +123,12 @@
 
         """
         queue = self._queues.setdefault(job.pool, Queue())
-        queue.headroom.note(job)
+        queue.headroom.record(job)
         if not queue.waiters:
             backend = self._find(job, avoid)
             if backend is not None:
                 return self._occupy(backend, job)
-        waiter = queue.enter(job, avoid, self._give_patience(job))
+        waiter = queue.add(job, avoid, self._give_patience(job))
         self._shed_last(queue)
         try:
             return await self._wait(waiter)
@@ -138,11 +138,11 @@
                     self.release(waiter.slot.result())
             raise
         except Refusal as refusal:
-            queue.leave(waiter)
-            refusal.retry_after_ms = await self.give_return_ms(job)
+            queue.remove(waiter)
+            refusal.retry_after_ms = await self.reserve_retry_ms(job)
             raise
         finally:
-            queue.leave(waiter)
+            queue.remove(waiter)
 
     def release(self, backend: Backend) -> None:
         """Give a place back and hand it on."""
@@ -179,20 +179,20 @@
             return
         now_ms = self._clock.now()
         known = self._draw(pool)
-        queue.next_ms = None
+        queue.next_check_ms = None
         if not any(backend.is_restricted(now_ms) for backend in known):
             self.assign_slots(pool)
             return
-        room = self._measure_room(pool, 0)
-        self.availability.ask(
-            queue, [one for one in known if room.takes(one, now_ms)]
+        capacity = self._measure_capacity(pool, 0)
+        self.availability.request_permits(
+            queue, [one for one in known if capacity.accepts(one, now_ms)]
         )
         self.assign_slots(pool)
-        queue.next_ms = self.availability.next_ms(known)
-        for waiter in self.availability.list_hopeless(queue, known):
+        queue.next_check_ms = self.availability.next_check_ms(known)
+        for waiter in self.availability.find_hopeless(queue, known):
             self._end_wait(queue, waiter)
 
-    async def give_return_ms(self, job: Job) -> int:
+    async def reserve_retry_ms(self, job: Job) -> int:
         """Give when a request should come back, and have a permit kept for it.
 
         Explanation
@@ -201,13 +201,13 @@
         keeps their buckets does not answer, the time is no more than likely.
         """
         known = self._backends.in_pool(job.pool)
-        if self.availability.first_ms(known) is not None:
+        if self.availability.earliest_available_ms(known) is not None:
             wait_ms = await self.availability.reserve(known)
             if wait_ms is not None:
                 return wait_ms
-        return self.retry_after_ms(job)
+        return self.compute_retry_after_ms(job)
 
-    def retry_after_ms(self, job: Job) -> int:
+    def compute_retry_after_ms(self, job: Job) -> int:
         """Give when a request that is turned away should come back.
 
         Explanation
@@ -219,21 +219,21 @@
         """
         now_ms, draw = self._clock.now(), self._rng.random()
         known = self._backends.in_pool(job.pool)
-        available_ms = self.availability.first_ms(known)
+        available_ms = self.availability.earliest_available_ms(known)
         if available_ms is None:
-            return self._give_return_ms(job, now_ms, draw)
-        rate = self.availability.sum_rates(known) / max(
+            return self._compute_retry_ms(job, now_ms, draw)
+        rate = self.availability.total_rate(known) / max(
             1, self._count_gateways()
         )
         if rate:
             queue = self._queues.setdefault(job.pool, Queue())
-            later_ms = queue.returns.book(available_ms, rate) - now_ms
+            later_ms = queue.retry_schedule.reserve(available_ms, rate) - now_ms
         else:
             later_ms = available_ms - now_ms + round(draw * job.route.target_ms)
         return max(1, later_ms)
 
     def _occupy(self, backend: Backend, job: Job) -> Backend:
-        job.permit = self.availability.take(backend, job)
+        job.permit = self.availability.acquire_permit(backend, job)
         backend.record_dispatch()
         self._versions.record_placement(backend)
         return backend
@@ -251,9 +251,9 @@
         """
         if known is None:
             known = self._draw(job.pool)
-        room = self._measure_room(job.pool, self._free_part(job))
+        capacity = self._measure_capacity(job.pool, self._free_part(job))
         for group in self._versions.group(job, known):
-            found = self._find_best(job, avoid, group, room)
+            found = self._find_best(job, avoid, group, capacity)
             if found is not None:
                 return found
         return None
@@ -263,7 +263,7 @@
         job: Job,
         avoid: set[str],
         known: Sequence[Backend],
-        room: CapacityLimits,
+        capacity: CapacityLimits,
     ) -> Backend | None:
         """Give the best of some servers, None if none has a place."""
         now_ms = self._clock.now()
@@ -271,7 +271,9 @@
         best: Score | None = None
         found = None
         for backend in known:
-            if backend.server.id in avoid or not room.takes(backend, now_ms):
+            if backend.server.id in avoid or not capacity.accepts(
+                backend, now_ms
+            ):
                 continue
             if not self.availability.is_available(
                 backend, for_retry=job.is_retry
@@ -311,18 +313,20 @@
         server anew at every end of a request.
         """
         now_ms = self._clock.now()
-        room = self._measure_room(pool, 0)
+        capacity = self._measure_capacity(pool, 0)
         return [
             backend
             for backend in self._draw(pool)
-            if room.takes(backend, now_ms)
+            if capacity.accepts(backend, now_ms)
             and self.availability.is_available(backend, for_retry=True)
         ]
 
     def _free_part(self, job: Job) -> float:
-        return self._queues[job.pool].headroom.give_part(job)
+        return self._queues[job.pool].headroom.reserved_fraction(job)
 
-    def _measure_room(self, pool: str, free_part: float) -> CapacityLimits:
+    def _measure_capacity(
+        self, pool: str, reserved_fraction: float
+    ) -> CapacityLimits:
         now_ms = self._clock.now()
         known = self._backends.in_pool(pool)
         known = [one for one in known if one.may_send_without_permit(now_ms)]
@@ -334,7 +338,7 @@
         return CapacityLimits(
             gateways,
             self._backends.connection_limit(pool),
-            free_part,
+            reserved_fraction,
             extra,
         )
 
@@ -374,7 +378,7 @@
 
     def _next_look_ms(self, pool: str) -> int:
         """Give after how long a place may be free that nobody tells of."""
-        next_ms = self._queues[pool].next_ms
+        next_ms = self._queues[pool].next_check_ms
         if next_ms is None:
             return _LOOK_AGAIN_MS
         return min(_LOOK_AGAIN_MS, next_ms - self._clock.now())
@@ -386,7 +390,7 @@
         job = waiter.job
         self._shed(queue, lambda known: known.job.priority > job.priority)
         known = self._backends.in_pool(job.pool)
-        is_limited = any(one.signals.limit.is_named for one in known)
+        is_limited = any(one.signals.limit.is_set for one in known)
         cause = (
             Cause.servers_limited if is_limited else Cause.servers_backing_off
         )
--- a/seampond/forwarding/scoring.py
+++ b/seampond/forwarding/scoring.py
@@ -1,13 +1,13 @@
 """Which of the servers that have a place is best for a request."""
 
 from seampond.forwarding.backend import Backend
-from seampond.forwarding.job import Job
-from seampond.forwarding.selection import (
-    expect_first_ms,
-    expect_least_ms,
-    expect_made_ms,
-    rate_backend,
+from seampond.forwarding.cost_model import (
+    compute_cost_ms,
+    estimate_first_byte_ms,
+    estimate_generation_ms,
+    min_first_byte_ms,
 )
+from seampond.forwarding.job import Job
 from seampond.forwarding.speeds import PoolSpeed
 
 # Whether it is a fallback, whether it is to be tried out, what is at risk
@@ -28,26 +28,26 @@
     comes after all others.
     """
     load = backend.load(now_ms)
-    first_ms = expect_first_ms(backend, job, pool, now_ms, load)
-    latest_ms = job.route.target_ms + expect_least_ms(job)
+    first_ms = estimate_first_byte_ms(backend, job, pool, now_ms, load)
+    latest_ms = job.route.target_ms + min_first_byte_ms(job)
     if load and first_ms > latest_ms and not job.has_streamed:
         return None
-    finish_ms = now_ms + first_ms + expect_made_ms(backend, job, pool)
+    finish_ms = now_ms + first_ms + estimate_generation_ms(backend, job, pool)
     if (
         backend.signals.is_draining
         and finish_ms > backend.signals.drain_until_ms
     ):
         return None
-    cost_ms = rate_backend(backend, job, pool, zone, now_ms, first_ms)
+    cost_ms = compute_cost_ms(backend, job, pool, zone, now_ms, first_ms)
     return (
         not backend.takes_work,
-        _rate_probe(backend, job, now_ms),
-        _rate_risk(backend, job, load),
+        _probe_rank(backend, job, now_ms),
+        _crash_risk(backend, job, load),
         cost_ms,
     )
 
 
-def _rate_risk(backend: Backend, job: Job, load: int) -> int:
+def _crash_risk(backend: Backend, job: Job, load: int) -> int:
     """Rate what a request that may end its server puts at risk; 0 is least.
 
     Explanation
@@ -70,7 +70,7 @@
     return int(is_apart)
 
 
-def _rate_probe(backend: Backend, job: Job, now_ms: int) -> int:
+def _probe_rank(backend: Backend, job: Job, now_ms: int) -> int:
     """Rate a server that has not answered since it wanted rest; 0 is least.
 
     Explanation
@@ -84,6 +84,6 @@
     """
     if not backend.signals.needs_probe:
         limit = backend.signals.limit
-        return 0 if limit.is_named and limit.is_stale(now_ms) else 1
+        return 0 if limit.is_set and limit.is_stale(now_ms) else 1
     may_go_on = not job.attempts and job.route.attempts > 1
     return 0 if may_go_on and not job.crash_count else 2
--- a/seampond/forwarding/server_limit.py
+++ b/seampond/forwarding/server_limit.py
@@ -42,48 +42,48 @@
     ----------
     rate : float or None
         The requests a second that it takes from all gateways together.
-    said_ms : int or None
+    reported_ms : int or None
         When the request was sent whose answer said so, None if it has never
         named a limit.
     permits : list[Permit]
         Those that nobody has taken up yet.
-    asked_ms : int or None
+    requested_ms : int or None
         Since when we wait for an answer to our asking for one.
-    resend_ms, answer_by_ms : int
+    resend_at_ms, reply_due_ms : int
         When we ask once more, and when we wait for the answer no longer.
-    number : int
+    request_number : int
         Of the latest time that we asked.
     is_for_retry : bool
         Whether we asked for a caller that was told to come back.
     available_ms, retry_available_ms : int
         Before this there is no other permit for us, as far as we know; for a
         caller that was told to come back.
-    tries_ms : int
+    next_probe_ms : int
         Before this we do not ask only to hear whether the limit holds on.
-    full_until_ms : int
+    reservations_full_until_ms : int
         Before this no time to come back can be reserved.
 
     """
 
     rate: float | None = None
-    said_ms: int | None = None
+    reported_ms: int | None = None
     permits: list[Permit] = field(default_factory=list)
-    asked_ms: int | None = None
-    resend_ms: int = 0
-    answer_by_ms: int = 0
-    number: int = 0
+    requested_ms: int | None = None
+    resend_at_ms: int = 0
+    reply_due_ms: int = 0
+    request_number: int = 0
     is_for_retry: bool = False
     available_ms: int = 0
     retry_available_ms: int = 0
-    tries_ms: int = 0
-    full_until_ms: int = 0
+    next_probe_ms: int = 0
+    reservations_full_until_ms: int = 0
 
     @property
-    def is_named(self) -> bool:
+    def is_set(self) -> bool:
         """Whether there is a limit."""
         return self.rate is not None
 
-    def take_word(self, rate: float | None, said_ms: int) -> bool:
+    def update(self, rate: float | None, reported_ms: int) -> bool:
         """Take what an answer says; tell whether it is another limit.
 
         Explanation
@@ -91,26 +91,26 @@
         An answer to an older request is no newer word.  Of two as old as
         each other the one with a limit counts.
         """
-        if self.said_ms is None:
+        if self.reported_ms is None:
             if rate is None:
                 return False
-        elif said_ms < self.said_ms:
+        elif reported_ms < self.reported_ms:
             return False
-        elif rate is None and said_ms == self.said_ms:
+        elif rate is None and reported_ms == self.reported_ms:
             return False
         is_other = rate != self.rate
         self.rate = rate
-        self.said_ms = said_ms
+        self.reported_ms = reported_ms
         if is_other:
             self.available_ms = 0
             self.retry_available_ms = 0
-            self.full_until_ms = 0
+            self.reservations_full_until_ms = 0
         if rate is None:
             self.permits.clear()
-            self.asked_ms = None
+            self.requested_ms = None
         return is_other
 
-    def note_closed(self, until_ms: int) -> None:
+    def record_refusal(self, until_ms: int) -> None:
         """Note until when we get no permit like the one that we asked for."""
         if self.is_for_retry:
             self.retry_available_ms = until_ms
@@ -119,28 +119,28 @@
 
     def is_stale(self, now_ms: int) -> bool:
         """Whether the last word is so old that it may not hold any more."""
-        said_ms = self.said_ms
-        return said_ms is not None and now_ms - said_ms >= _WORD_AGE_MS
+        reported_ms = self.reported_ms
+        return reported_ms is not None and now_ms - reported_ms >= _WORD_AGE_MS
 
     def has_permit(self, now_ms: int) -> bool:
         """Whether a request may be sent now."""
         return any(permit.holds(now_ms) for permit in self.permits)
 
-    def add_permit(self, now_ms: int, asked_ms: int, wait_ms: int) -> None:
+    def add_permit(self, now_ms: int, requested_ms: int, wait_ms: int) -> None:
         """Keep a permit that holds after a wait.
 
         Parameters
         ----------
-        asked_ms : int
+        requested_ms : int
             When we asked, which was before it was given.
 
         """
-        until_ms = asked_ms + wait_ms + _PERMIT_MS
+        until_ms = requested_ms + wait_ms + _PERMIT_MS
         self.permits.append(Permit(now_ms + wait_ms, until_ms))
 
-    def take_permit(self, now_ms: int) -> Permit | None:
+    def acquire_permit(self, now_ms: int) -> Permit | None:
         """Take up the permit that ends first, if there is one."""
-        self.drop_old(now_ms)
+        self.discard_expired(now_ms)
         held = [permit for permit in self.permits if permit.holds(now_ms)]
         if not held:
             return None
@@ -148,20 +148,20 @@
         self.permits.remove(first)
         return first
 
-    def drop_old(self, now_ms: int) -> None:
+    def discard_expired(self, now_ms: int) -> None:
         """Forget permits that have ended."""
         self.permits = [
             permit for permit in self.permits if now_ms < permit.until_ms
         ]
 
-    def next_ms(self, now_ms: int) -> int | None:
+    def next_event_ms(self, now_ms: int) -> int | None:
         """Give when a permit holds next, or an answer is overdue."""
         times = [permit.from_ms for permit in self.permits]
-        if self.asked_ms is not None:
-            times.extend((self.resend_ms, self.answer_by_ms))
+        if self.requested_ms is not None:
+            times.extend((self.resend_at_ms, self.reply_due_ms))
         return min((one for one in times if one > now_ms), default=None)
 
-    def count_coming(self, now_ms: int) -> int:
+    def count_expected(self, now_ms: int) -> int:
         """Count the permits that hold now or later, and that are asked for."""
         held = sum(now_ms < permit.until_ms for permit in self.permits)
-        return held + (self.asked_ms is not None)
+        return held + (self.requested_ms is not None)
--- a/seampond/forwarding/signal_state.py
+++ b/seampond/forwarding/signal_state.py
@@ -150,11 +150,11 @@
         server: Server,
         signals: SignalState,
         rate: float | None,
-        said_ms: int,
+        reported_ms: int,
     ) -> bool:
         """Take a word on a limit, by whomever; tell whether it changes it."""
         before = signals.limit.rate
-        if not signals.limit.take_word(rate, said_ms):
+        if not signals.limit.update(rate, reported_ms):
             return False
         _tell('server names a limit', server, limit=rate, before=before)
         self._keep(server.id, signals)
--- a/seampond/forwarding/speeds.py
+++ b/seampond/forwarding/speeds.py
@@ -39,15 +39,15 @@
     service_ms: float = 0
     pause_ms: float = 0
 
-    def note_pause(self, pause_ms: float) -> None:
+    def record_pause(self, pause_ms: float) -> None:
         """Learn from the longest pause of one stream."""
         self.pause_ms = max(self.pause_ms * _PAUSE_KEPT, pause_ms)
 
-    def note_gap(self, gap_ms: float) -> None:
+    def record_gap(self, gap_ms: float) -> None:
         """Learn from the events of one stream."""
         self.gap_ms = _blend(self.gap_ms, max(1.0, gap_ms), _LEARN)
 
-    def note_service(self, took_ms: float) -> None:
+    def record_service(self, took_ms: float) -> None:
         """Learn from one answer that was no stream."""
         self.service_ms = _blend(self.service_ms, max(1.0, took_ms), _LEARN)
 
@@ -62,7 +62,7 @@
         The median of its servers' gaps between events.
     tokens_per_event : float
         Tokens asked for, for each event that came.
-    first_factor : float
+    ttfb_factor : float
         The time to the first event against what was expected.
 
     """
@@ -70,7 +70,7 @@
     gap_ms: float = _FIRST_GAP_MS
     tokens_per_event: float = _FIRST_TOKENS_PER_EVENT
     service_ms: float = _FIRST_SERVICE_MS
-    first_factor: float = 1.0
+    ttfb_factor: float = 1.0
 
     def refresh(self, speeds: Iterable[Speed]) -> None:
         """Take the medians of the servers' own speeds."""
@@ -82,25 +82,25 @@
         if services:
             self.service_ms = median(services)
 
-    def note_first(self, took_ms: float, expected_ms: float) -> None:
+    def record_first_event(self, took_ms: float, expected_ms: float) -> None:
         """Learn from the time to one first event."""
         ratio = took_ms / max(1.0, expected_ms)
         bounded = min(_MAX_FACTOR, max(_MIN_FACTOR, ratio))
-        self.first_factor = _blend(self.first_factor, bounded, _LEARN_POOL)
+        self.ttfb_factor = _blend(self.ttfb_factor, bounded, _LEARN_POOL)
 
-    def note_whole(self, tokens: int, events: int) -> None:
+    def record_stream(self, tokens: int, events: int) -> None:
         """Learn the size of an event from one whole stream."""
         if tokens and events:
             self.tokens_per_event = _blend(
                 self.tokens_per_event, tokens / events, _LEARN_POOL
             )
 
-    def pace(self, speed: Speed) -> float:
+    def slowdown(self, speed: Speed) -> float:
         """Give how slow a server is against its pool; 1 where unknown.
 
         Examples
         --------
-        >>> PoolSpeed(gap_ms=20).pace(Speed(gap_ms=40))
+        >>> PoolSpeed(gap_ms=20).slowdown(Speed(gap_ms=40))
         2.0
 
         """
--- a/seampond/forwarding/tests/test_admission.py
+++ b/seampond/forwarding/tests/test_admission.py
@@ -3,7 +3,11 @@
 import unittest
 
 from seampond.clock import ManualClock
-from seampond.forwarding.admission import Admission, Arrival, ConfigurationState
+from seampond.forwarding.admission import (
+    Admission,
+    ConfigurationState,
+    RequestHead,
+)
 from seampond.forwarding.models import Configuration
 from seampond.forwarding.refusals import Cause, Refusal
 from seampond.settings.gateway import BoundSettings
@@ -57,7 +61,9 @@
 
     def test_nobody_is_denied_without_a_young_proof(self) -> None:
         """What the newest configuration allows is not known."""
-        arrival = Arrival(b'GET', b'/elsewhere/', [(b'host', b'a.example')], 0)
+        arrival = RequestHead(
+            b'GET', b'/elsewhere/', [(b'host', b'a.example')], 0
+        )
         for proved_ms, cause in (
             (None, Cause.outdated),
             (self.clock.now(), Cause.no_route),
@@ -74,5 +80,5 @@
             (b'host', b'a.example'),
             (NAMES.deadline, b'%d' % max_wait_ms),
         ]
-        arrival = Arrival(b'GET', b'/x/y', headers, 0)
+        arrival = RequestHead(b'GET', b'/x/y', headers, 0)
         return self.admission.admit(arrival, b'').is_retry
--- a/seampond/forwarding/tests/test_availability.py
+++ b/seampond/forwarding/tests/test_availability.py
@@ -7,7 +7,7 @@
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.backends import Backends
 from seampond.forwarding.refusals import Cause, Refusal
-from seampond.forwarding.retry_times import LATEST_MS
+from seampond.forwarding.retry_times import MAX_RETRY_AFTER_MS
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server_limit import Permit
 from seampond.forwarding.server_signals import ServerSignals
@@ -40,17 +40,17 @@
         """Whether there is one."""
         return self.given > 0
 
-    def take(self, backend: Backend, *, for_retry: bool) -> Permit:
+    def acquire(self, backend: Backend, *, for_retry: bool) -> Permit:
         """Take one."""
         self.given -= 1
         return Permit(0, 1 << 60)
 
-    def ask(
+    def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
         """Note who is asked, and wait for the answer."""
         self.asked.append(backend.server.id)
-        backend.signals.limit.asked_ms = Clock().now()
+        backend.signals.limit.requested_ms = Clock().now()
 
     def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
         """Give what the test says."""
@@ -93,7 +93,7 @@
     def answer(self, given: int) -> None:
         """Let the owner answer all that were asked."""
         for backend in self.backends:
-            backend.signals.limit.asked_ms = None
+            backend.signals.limit.requested_ms = None
         self.giver.given = given
         self.scheduler.process_queue(POOL)
 
@@ -163,9 +163,11 @@
         """Guards against a message for each caller of a long overload."""
         self.giver.opens_at_ms = self.clock.now() + _LATER_MS
         for backend in self.backends:
-            backend.signals.limit.full_until_ms = self.clock.now() + _LATER_MS
+            backend.signals.limit.reservations_full_until_ms = (
+                self.clock.now() + _LATER_MS
+            )
         refusal = await self.check_refused(self.place('r1'))
-        self.assertEqual(refusal.retry_after_ms, LATEST_MS)
+        self.assertEqual(refusal.retry_after_ms, MAX_RETRY_AFTER_MS)
         self.assertEqual(self.giver.reserving, [])
 
     async def test_nothing_is_reserved_at_a_server_that_takes_nothing(
--- a/seampond/forwarding/tests/test_headroom.py
+++ b/seampond/forwarding/tests/test_headroom.py
@@ -38,17 +38,17 @@
     def test_some_of_each_rank_leave_nothing_free(self) -> None:
         """No rank is starved by what ranks above it."""
         headroom = Headroom()
-        headroom.note(build_ranked(1, 0))
+        headroom.record(build_ranked(1, 0))
         free = []
         for number in range(200):
             job = build_ranked(1, 2, f'r{number}')
-            headroom.note(job)
-            free.append(headroom.count_free(job, _SLOTS))
+            headroom.record(job)
+            free.append(headroom.count_reserved(job, _SLOTS))
         self.assertIn(free.count(0), range(20, 60))
 
     def _free(self, ranks: list[tuple[int, int]]) -> list[int]:
         headroom = Headroom()
         jobs = [build_ranked(*rank) for rank in ranks]
         for job in jobs:
-            headroom.note(job)
-        return [headroom.count_free(job, _SLOTS) for job in jobs]
+            headroom.record(job)
+        return [headroom.count_reserved(job, _SLOTS) for job in jobs]
--- a/seampond/forwarding/tests/test_incarnations.py
+++ b/seampond/forwarding/tests/test_incarnations.py
@@ -27,7 +27,7 @@
         self.earlier.cached_parts['part'] = 500
         self.earlier.report = LoadReport(4, 9, 0, 1000)
         self.earlier.in_flight = 3
-        self.earlier.speed.note_service(900)
+        self.earlier.speed.record_service(900)
 
     def test_nothing_believed_of_the_earlier_life_holds_on(self) -> None:
         """Failures, pause, prompts, reports, speed, open requests."""
--- a/seampond/forwarding/tests/test_retry_times.py
+++ b/seampond/forwarding/tests/test_retry_times.py
@@ -73,7 +73,7 @@
         self.rng = random.Random(seed)
         self.served = Served()
         self.scheduler = Scheduler(
-            backends, ZONE, clock, int, build_promises(), give_return_ms=way
+            backends, ZONE, clock, int, build_promises(), compute_retry_ms=way
         )
 
     async def run(self) -> None:
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -303,7 +303,7 @@
     async def test_long_prompt_avoids_a_server_that_pauses(self) -> None:
         """Where a long prompt makes all streams late, it goes elsewhere."""
         scheduler, (pausing, other) = build_scheduler(8, 8)
-        pausing.speed.note_pause(900)
+        pausing.speed.record_pause(900)
         pausing.in_flight = 3
         other.in_flight = 5
         route = build_route(kind=RequestKind.stream, pause_ms=400)
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -201,7 +201,7 @@
         STATUS_TABLE: TableFreshness(clock, store_time, lambda proved_ms: None),
     }
     _show_ages(metrics, configuration_state, freshness, clock)
-    configuration_state.is_behind = lambda: (
+    configuration_state.is_outdated = lambda: (
         freshness[CONFIGURATION_TABLE].is_missing
     )
     admission = Admission(
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -8,7 +8,7 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.forwarding.backend import Backend
-from seampond.forwarding.retry_times import LATEST_MS
+from seampond.forwarding.retry_times import MAX_RETRY_AFTER_MS
 from seampond.forwarding.server_limit import Permit, ServerLimit
 from seampond.permits.issuer import PermitIssuer
 from seampond.permits.messages import LimitReport, PermitReply, PermitRequest
@@ -117,25 +117,25 @@
             return False
         return self._giver.has_permit(key, limit, for_retry=for_retry)
 
-    def take(
+    def acquire(
         self, backend: Backend, *, for_retry: bool = False
     ) -> Permit | None:
         """Take up a permit to send now."""
         limit, now_ms = backend.signals.limit, self._clock.now()
-        permit = limit.take_permit(now_ms)
+        permit = limit.acquire_permit(now_ms)
         key = hash_name(backend.server.incarnation)
         if permit is None and self._owners.is_ours(key):
-            self.ask(backend, 0, for_retry=for_retry)
-            permit = limit.take_permit(now_ms)
+            self.request(backend, 0, for_retry=for_retry)
+            permit = limit.acquire_permit(now_ms)
         return permit
 
-    def ask(
+    def request(
         self, backend: Backend, patience_ms: int, *, for_retry: bool = False
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         key = hash_name(backend.server.incarnation)
-        limit.drop_old(now_ms)
+        limit.discard_expired(now_ms)
         if self._owners.is_ours(key):
             wait_ms = self._giver.give(
                 key, limit, patience_ms, for_retry=for_retry
@@ -145,17 +145,17 @@
                 limit.add_permit(now_ms, now_ms, wait_ms)
             return
         reply_ms = _RETURN_REPLY_MS if for_retry else _REPLY_MS
-        limit.asked_ms = now_ms
-        limit.resend_ms = now_ms + _RESEND_MS
-        limit.answer_by_ms = now_ms + reply_ms
+        limit.requested_ms = now_ms
+        limit.resend_at_ms = now_ms + _RESEND_MS
+        limit.reply_due_ms = now_ms + reply_ms
         limit.is_for_retry = for_retry
-        limit.number = next(self._numbers)
+        limit.request_number = next(self._numbers)
         ask = replace(
-            self._make_ask(key, limit, limit.number),
+            self._make_ask(key, limit, limit.request_number),
             patience_ms=patience_ms,
             for_retry=for_retry,
         )
-        self._asked[limit.number] = _Question(ask, limit)
+        self._asked[limit.request_number] = _Question(ask, limit)
         self._send_ask(ask)
 
     async def reserve(self, backend: Backend) -> int | None:
@@ -177,8 +177,8 @@
         else:
             wait_ms = await self._ask_to_reserve(key, limit)
         self._count('reserved' if wait_ms else 'not-reserved')
-        if wait_ms == LATEST_MS:
-            limit.full_until_ms = self._clock.now() + _FULL_MS
+        if wait_ms == MAX_RETRY_AFTER_MS:
+            limit.reservations_full_until_ms = self._clock.now() + _FULL_MS
         return wait_ms or None
 
     def available_ms(self, backend: Backend, *, for_retry: bool = False) -> int:
@@ -200,17 +200,17 @@
         """
         limit, now_ms = backend.signals.limit, self._clock.now()
         self._look_after(limit, now_ms)
-        is_due = limit.is_stale(now_ms) and now_ms >= limit.tries_ms
-        if not is_due or limit.asked_ms is not None:
+        is_due = limit.is_stale(now_ms) and now_ms >= limit.next_probe_ms
+        if not is_due or limit.requested_ms is not None:
             return
         spread = max(1, self._gateways.count / _TRIERS)
         pause_ms = _TRY_MS * spread * self._rng.uniform(*_SPREAD)
         # Where all hear at once that a limit is old, not all should ask.
-        is_first = not limit.tries_ms
-        limit.tries_ms = now_ms + round(pause_ms)
+        is_first = not limit.next_probe_ms
+        limit.next_probe_ms = now_ms + round(pause_ms)
         if is_first and spread > 1:
             return
-        self.ask(backend, 0)
+        self.request(backend, 0)
 
     def take_ask(self, ask: PermitRequest) -> None:
         """Answer a gateway that asks for a permit."""
@@ -278,7 +278,7 @@
             self._look_after(question.limit, now_ms)
 
     def _begin(self, key: int, limit: ServerLimit) -> None:
-        if limit.is_named and self._owners.is_ours(key):
+        if limit.is_set and self._owners.is_ours(key):
             self._giver.begin(key, limit)
 
     def _make_ask(
@@ -310,29 +310,29 @@
             self._reserving.pop(number, None)
 
     def _take_answer(self, limit: ServerLimit, reply: PermitReply) -> None:
-        if limit.number != reply.number or limit.asked_ms is None:
+        if limit.request_number != reply.number or limit.requested_ms is None:
             return
         self._count('given' if reply.is_given else 'refused')
         now_ms = self._clock.now()
         if reply.is_given:
-            limit.add_permit(now_ms, limit.asked_ms, reply.wait_ms)
+            limit.add_permit(now_ms, limit.requested_ms, reply.wait_ms)
         else:
-            limit.note_closed(now_ms + reply.wait_ms)
-        limit.asked_ms = None
+            limit.record_refusal(now_ms + reply.wait_ms)
+        limit.requested_ms = None
 
     def _look_after(self, limit: ServerLimit, now_ms: int) -> None:
         """Ask an owner again that has not answered, then wait no longer."""
-        if limit.asked_ms is None:
+        if limit.requested_ms is None:
             return
-        if now_ms >= limit.answer_by_ms:
+        if now_ms >= limit.reply_due_ms:
             self._count('lost')
-            self._asked.pop(limit.number, None)
-            limit.asked_ms = None
-            limit.note_closed(now_ms + _ASK_AGAIN_MS)
-        elif now_ms >= limit.resend_ms:
-            limit.resend_ms = limit.answer_by_ms
-            ask = self._asked[limit.number].ask
-            waited_ms = now_ms - limit.asked_ms
+            self._asked.pop(limit.request_number, None)
+            limit.requested_ms = None
+            limit.record_refusal(now_ms + _ASK_AGAIN_MS)
+        elif now_ms >= limit.resend_at_ms:
+            limit.resend_at_ms = limit.reply_due_ms
+            ask = self._asked[limit.request_number].ask
+            waited_ms = now_ms - limit.requested_ms
             patience_ms = max(0, ask.patience_ms - waited_ms)
             self._send_ask(replace(ask, patience_ms=patience_ms))
 
--- a/seampond/permits/recent_reports.py
+++ b/seampond/permits/recent_reports.py
@@ -15,7 +15,9 @@
 
 def make_report(limit: ServerLimit, now_ms: int) -> LimitReport:
     """Give what is known of a limit, with its age."""
-    return LimitReport(limit.rate, max(0, now_ms - (limit.said_ms or now_ms)))
+    return LimitReport(
+        limit.rate, max(0, now_ms - (limit.reported_ms or now_ms))
+    )
 
 
 class RecentReports:
@@ -56,4 +58,4 @@
 
 def _last_ms(limit: ServerLimit, since_ms: int) -> int:
     """Give when there was last anything to tell of a limit."""
-    return (limit.said_ms or 0) if limit.is_named else since_ms
+    return (limit.reported_ms or 0) if limit.is_set else since_ms
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -142,10 +142,10 @@
     def test_one_owns_it_and_gives_permits(self) -> None:
         """Each is for one request."""
         self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
-        self.asker.permit_manager.ask(self.asker.backend, 0)
+        self.asker.permit_manager.request(self.asker.backend, 0)
         self.exchange()
         self.assertTrue(self.asker.permit_manager.may_send(self.asker.backend))
-        permit = self.asker.permit_manager.take(self.asker.backend)
+        permit = self.asker.permit_manager.acquire(self.asker.backend)
         assert permit is not None
         self.assertTrue(permit.may_send(self.clock.now()))
         self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
@@ -154,8 +154,8 @@
     def test_permit_that_is_given_ahead(self) -> None:
         """It holds after the wait, and not for ever."""
         while self.owner.permit_manager.may_send(self.owner.backend):
-            self.owner.permit_manager.take(self.owner.backend)
-        self.asker.permit_manager.ask(self.asker.backend, _SECOND_MS)
+            self.owner.permit_manager.acquire(self.owner.backend)
+        self.asker.permit_manager.request(self.asker.backend, _SECOND_MS)
         self.exchange()
         self.assertFalse(self.asker.permit_manager.may_send(self.asker.backend))
         self.advance(500)
@@ -166,8 +166,8 @@
     def test_refusal_says_when(self) -> None:
         """Nobody asks before."""
         while self.owner.permit_manager.may_send(self.owner.backend):
-            self.owner.permit_manager.take(self.owner.backend)
-        self.asker.permit_manager.ask(self.asker.backend, 100)
+            self.owner.permit_manager.acquire(self.owner.backend)
+        self.asker.permit_manager.request(self.asker.backend, 100)
         self.exchange()
         available_ms = self.asker.permit_manager.available_ms(
             self.asker.backend
@@ -177,14 +177,14 @@
 
     def test_doubled_question_and_answer(self) -> None:
         """The second permit is lost, not used twice."""
-        self.asker.permit_manager.ask(self.asker.backend, 0)
+        self.asker.permit_manager.request(self.asker.backend, 0)
         self.asker.sent *= 2
         self.exchange()
         self.assertEqual(len(self.asker.backend.signals.limit.permits), 1)
 
     def test_lost_answer(self) -> None:
         """Asked again a little later; the late one counts no more."""
-        self.asker.permit_manager.ask(self.asker.backend, 0)
+        self.asker.permit_manager.request(self.asker.backend, 0)
         for _, ask in self.asker.sent:
             assert isinstance(ask, PermitRequest)
             self.owner.permit_manager.take_ask(ask)
@@ -200,8 +200,8 @@
     def test_question_whose_answer_is_lost(self) -> None:
         """Guards against a permit, or a reserved one, that is lost with it."""
         while self.owner.permit_manager.may_send(self.owner.backend):
-            self.owner.permit_manager.take(self.owner.backend)
-        self.asker.permit_manager.ask(self.asker.backend, _SECOND_MS)
+            self.owner.permit_manager.acquire(self.owner.backend)
+        self.asker.permit_manager.request(self.asker.backend, _SECOND_MS)
         ask = self.asker.sent[-1][1]
         assert isinstance(ask, PermitRequest)
         self.owner.permit_manager.take_ask(ask)
@@ -224,9 +224,9 @@
         """The limit is over: the asker hears it with the answer."""
         self.advance(1)
         self.owner.say(None)
-        self.asker.permit_manager.ask(self.asker.backend, 0)
+        self.asker.permit_manager.request(self.asker.backend, 0)
         self.exchange()
-        self.assertFalse(self.asker.backend.signals.limit.is_named)
+        self.assertFalse(self.asker.backend.signals.limit.is_set)
 
     def test_owner_that_has_not_heard(self) -> None:
         """The question tells it of the limit."""
@@ -234,7 +234,7 @@
         self.owner.say(None)
         self.advance(1)
         self.asker.say(3)
-        self.asker.permit_manager.ask(self.asker.backend, 0)
+        self.asker.permit_manager.request(self.asker.backend, 0)
         self.exchange()
         self.assertEqual(self.owner.backend.signals.limit.rate, 3)
 
@@ -242,7 +242,7 @@
         """Its row comes later; the permits count from the first question."""
         self.owner.backends.replace_all([])
         for _ in range(2):
-            self.asker.permit_manager.ask(self.asker.backend, 0)
+            self.asker.permit_manager.request(self.asker.backend, 0)
             self.exchange()
             self.advance(_SECOND_MS)
         self.assertEqual(self.asker.counted, ['given', 'given'])
@@ -269,14 +269,14 @@
     def test_reserved_permit_is_kept_for_its_caller(self) -> None:
         """Guards against first tries that take it, at any gateway."""
         while self.owner.permit_manager.may_send(self.owner.backend):
-            self.owner.permit_manager.take(self.owner.backend)
+            self.owner.permit_manager.acquire(self.owner.backend)
         wait_ms = self.reserve()
         assert wait_ms is not None
         self.advance(wait_ms)
         self.assertFalse(self.owner.permit_manager.may_send(self.owner.backend))
-        self.asker.permit_manager.ask(self.asker.backend, 0)
+        self.asker.permit_manager.request(self.asker.backend, 0)
         self.exchange()
-        self.asker.permit_manager.ask(self.asker.backend, 0, for_retry=True)
+        self.asker.permit_manager.request(self.asker.backend, 0, for_retry=True)
         self.exchange()
         self.assertEqual(self.asker.counted, ['reserved', 'refused', 'given'])
 
@@ -299,7 +299,7 @@
         self.clock.advance(100)
         for side in self.sides:
             while side.permit_manager.may_send(side.backend):
-                side.permit_manager.take(side.backend)
+                side.permit_manager.acquire(side.backend)
             wait_ms = (
                 side.permit_manager.available_ms(side.backend)
                 - self.clock.now()
@@ -339,7 +339,7 @@
             self.asker.permit_manager.tell(), {key: LimitReport(None, 0)}
         )
         self.owner.permit_manager.take_told(self.asker.permit_manager.tell())
-        self.assertFalse(self.owner.backend.signals.limit.is_named)
+        self.assertFalse(self.owner.backend.signals.limit.is_set)
         self.advance(10 * _SECOND_MS)
         self.assertEqual(self.asker.permit_manager.tell(), {})
 
--- a/seampond/permits/token_buckets.py
+++ b/seampond/permits/token_buckets.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from seampond.clock import MS_PER_SECOND, Clock
-from seampond.forwarding.retry_times import KEPT_PART, LATEST_MS
+from seampond.forwarding.retry_times import MAX_RETRY_AFTER_MS, RETRY_SHARE
 
 # What may come at once, so that uneven arrivals use the limit: some requests
 # and what the limit allows in a part of a second.
@@ -191,9 +191,9 @@
         missing = 1 + len(account.reserved) - account.level
         flows_ms = now_ms + max(0, -round(-missing / rate * MS_PER_SECOND))
         at_ms = max(flows_ms, account.next_ms)
-        if at_ms >= now_ms + LATEST_MS:
-            return LATEST_MS
-        account.next_ms = at_ms + round(MS_PER_SECOND / (rate * KEPT_PART))
+        if at_ms >= now_ms + MAX_RETRY_AFTER_MS:
+            return MAX_RETRY_AFTER_MS
+        account.next_ms = at_ms + round(MS_PER_SECOND / (rate * RETRY_SHARE))
         account.reserved.append(at_ms)
         return max(1, at_ms - now_ms)
 
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -11,7 +11,7 @@
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.forwarding.availability import Availability
 from seampond.forwarding.backends import Backends
-from seampond.forwarding.permits import Permits
+from seampond.forwarding.permits import PermitSource
 from seampond.forwarding.refusals import Refusal
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server_signals import ServerSignals
@@ -107,7 +107,7 @@
         asyncio.get_running_loop().call_later(delay_ms / MS_PER_SECOND, take)
 
 
-MakePermits = Callable[[Peers, Clock, Backends], Permits]
+MakePermits = Callable[[Peers, Clock, Backends], PermitSource]
 
 
 class LimitedGateway:
@@ -137,7 +137,7 @@
         )
         self.permit_manager.send = self._send_permit
         self.backends.on_limit = self.permit_manager.note_heard
-        permits: Permits = self.permit_manager
+        permits: PermitSource = self.permit_manager
         if fleet.make_permits is not None:
             permits = fleet.make_permits(self.peers, fleet.clock, self.backends)
         self.scheduler = Scheduler(
