--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -43,9 +43,9 @@
 _STOP_MARGIN_MS = 500
 _PROOF_MS = 1500
 _GATEWAYS_PROOF_MS = 8000
-_URGENT_PAUSE_MS = 600
-_CALM_PAUSE_MS = 1500
-_GATHER_MS = 250
+_CRITICAL_PAUSE_MS = 600
+_ROUTINE_PAUSE_MS = 1500
+_BATCH_MS = 250
 # With the configuration at hand the trials are waited for 3 s at the most.
 _TRIALS_PAUSE_MS = 250
 _TRIALS_TRIES = 12
@@ -59,23 +59,23 @@
 
     Parameters
     ----------
-    pause_ms : int
+    max_pause_ms : int
         The longest pause between two calls that fail.
-    gather_ms : int
+    batch_ms : int
         How long changes may be gathered for one answer.
-    proves_first : bool
+    proves_at_start : bool
         Whether a start asks at once whether what it has read is the newest.
 
     """
 
-    pause_ms: int
-    gather_ms: int
-    proves_first: bool
+    max_pause_ms: int
+    batch_ms: int
+    proves_at_start: bool
 
 
 # An older configuration may hold a key that was taken away since.
-_URGENT = LatencySample(_URGENT_PAUSE_MS, 0, proves_first=True)
-_CALM = LatencySample(_CALM_PAUSE_MS, _GATHER_MS, proves_first=False)
+_CRITICAL = LatencySample(_CRITICAL_PAUSE_MS, 0, proves_at_start=True)
+_ROUTINE = LatencySample(_ROUTINE_PAUSE_MS, _BATCH_MS, proves_at_start=False)
 
 
 @dataclass
@@ -119,7 +119,7 @@
     table: str,
     take: Callable[[Page], None],
     age_ms: int,
-    pace: LatencySample,
+    policy: LatencySample,
 ) -> AsyncIterator[None]:
     """Follow one table until the end of the `with`.
 
@@ -145,11 +145,11 @@
             clock,
             count,
             components.freshness[table],
-            pace.pause_ms,
-            pace.gather_ms,
+            policy.max_pause_ms,
+            policy.batch_ms,
             lambda: components.peers.interval_factor,
             lambda: components.peers.is_follower,
-            pace.proves_first,
+            policy.proves_at_start,
             functools.partial(components.relay, table),
         )
         components.watches[table] = watch
@@ -203,7 +203,11 @@
     while True:
         await follower.is_active.wait()
         async with _watch(
-            components, STATUS_TABLE, follower.handle_states, _PROOF_MS, _URGENT
+            components,
+            STATUS_TABLE,
+            follower.handle_states,
+            _PROOF_MS,
+            _CRITICAL,
         ):
             while follower.is_active.is_set():
                 await components.clock.sleep(_LOOK_MS)
@@ -322,28 +326,28 @@
     bounds = settings.bounds
     drain_ms = bounds.stop_ms - settings.linger_ms - _STOP_MARGIN_MS
     async with AsyncExitStack() as stack:
-        for table, take, age_ms, pace in (
+        for table, take, age_ms, policy in (
             (
                 CONFIGURATION_TABLE,
                 functools.partial(_take_operators, components),
                 _PROOF_MS,
-                _URGENT,
+                _CRITICAL,
             ),
             (
                 SERVERS_TABLE,
                 components.server_follower.handle_page,
                 _PROOF_MS,
-                _CALM,
+                _ROUTINE,
             ),
             (
                 GATEWAYS_TABLE,
                 functools.partial(apply_gateway_rows, components.peers),
                 _GATEWAYS_PROOF_MS,
-                _CALM,
+                _ROUTINE,
             ),
         ):
             await stack.enter_async_context(
-                _watch(components, table, take, age_ms, pace)
+                _watch(components, table, take, age_ms, policy)
             )
         await stack.enter_async_context(_share(components))
         await stack.enter_async_context(_run_rollouts(components))
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -8,7 +8,7 @@
 from seampond.clock import Clock
 from seampond.errors import ConflictError, PlatformError
 from seampond.platform.rollouts import (
-    encode_change,
+    encode_transaction,
     is_order_row,
     is_status_row,
     is_step_row,
@@ -17,7 +17,7 @@
     parse_step,
     pool_name,
 )
-from seampond.platform.store import RowChange
+from seampond.platform.store import RowTransaction
 from seampond.promises import Promises, Rule
 from seampond.rollouts import Change, RolloutManager, Stage, State
 from seampond.watches import Page, Row
@@ -33,10 +33,10 @@
 _Read = TypeVar('_Read')
 
 
-class ChangeWriter(Protocol):
+class TransactionWriter(Protocol):
     """Writes rows of the store on conditions."""
 
-    async def change(self, change: RowChange) -> None:
+    async def commit(self, change: RowTransaction) -> None:
         """Write all or none."""
 
 
@@ -122,7 +122,7 @@
 
 async def execute_rollouts(
     follower: RolloutFollower,
-    writer: ChangeWriter,
+    writer: TransactionWriter,
     rank: Callable[[], int],
     notify_peers: Callable[[], None],
     promises: Promises,
@@ -175,7 +175,7 @@
         )
 
 
-async def _write(writer: ChangeWriter, change: Change) -> None:
+async def _write(writer: TransactionWriter, change: Change) -> None:
     extra = {
         'pool': change.pool,
         'target': change.target,
@@ -184,7 +184,7 @@
         'reason': change.reason,
     }
     try:
-        await writer.change(encode_change(change))
+        await writer.commit(encode_transaction(change))
     except ConflictError:
         _logger.info('another gateway wrote of the roll-out', extra=extra)
     except PlatformError as error:
--- a/seampond/gateway/tests/saying_case.py
+++ b/seampond/gateway/tests/signalling_case.py
@@ -22,7 +22,7 @@
 _UP_S = 20
 
 
-class SayingCase(GatewayCase):
+class SignallingCase(GatewayCase):
     """Some gateways before six servers."""
 
     async def open_fleet(
--- a/seampond/gateway/tests/test_server_limits.py
+++ b/seampond/gateway/tests/test_server_limits.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from seampond.clock import MS_PER_SECOND
-from seampond.gateway.tests.saying_case import SERVERS, SayingCase
+from seampond.gateway.tests.signalling_case import SERVERS, SignallingCase
 from seampond.platform.tests.rows import IDEMPOTENT, ONCE, STREAM
 from seampond.testing.limited import Limited
 from seampond.testing.saying import SayingFleet
@@ -29,7 +29,7 @@
 _UNREADABLE = ('nan', '-1', 'inf', '1e999', '0x2', 'few', '')
 
 
-class LimitCase(SayingCase):
+class LimitCase(SignallingCase):
     """Some gateways before six servers, which are watched."""
 
     async def open_fleet(
--- a/seampond/gateway/tests/test_words.py
+++ b/seampond/gateway/tests/test_server_signals.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from seampond.clock import MS_PER_SECOND
-from seampond.gateway.tests.saying_case import SayingCase
+from seampond.gateway.tests.signalling_case import SignallingCase
 from seampond.platform import names
 from seampond.platform.tests.rows import IDEMPOTENT, ONCE, STREAM
 from seampond.testing.saying import SayingFleet
@@ -30,7 +30,7 @@
 _FAST_MS = 10
 
 
-class WordsCase(SayingCase):
+class WordsCase(SignallingCase):
     """Two gateways, which like one of the servers best."""
 
     async def open_fleet(
--- a/seampond/platform/quarantine.py
+++ b/seampond/platform/quarantine.py
@@ -8,7 +8,7 @@
 from seampond.errors import PlatformError
 from seampond.platform import names
 from seampond.platform.rows import NonNegativeInt, decode_row
-from seampond.platform.store import RowChange, StoreTable
+from seampond.platform.store import RowTransaction, StoreTable
 from seampond.quarantine.fingerprints import format_fingerprint
 from seampond.quarantine.models import TrialRow
 from seampond.watches import Row
@@ -54,8 +54,8 @@
         """Write a row if the one that is there has this row's version."""
         name = (names.QUARANTINE_TABLE, format_fingerprint(request))
         content = msgspec.json.encode(_Trial(row.trials, row.at_ms))
-        await self._table.change(
-            RowChange({name: row.version}, {name: content})
+        await self._table.commit(
+            RowTransaction({name: row.version}, {name: content})
         )
 
     async def drop_trial(self, request: int, version: int) -> None:
--- a/seampond/platform/rollouts.py
+++ b/seampond/platform/rollouts.py
@@ -11,7 +11,7 @@
 from seampond.errors import PlatformError
 from seampond.platform import names
 from seampond.platform.rows import NonNegativeFloat, NonNegativeInt, decode_row
-from seampond.platform.store import RowChange
+from seampond.platform.store import RowTransaction
 from seampond.rollouts import Change, Order, State, Status, Step
 from seampond.watches import Row, number_of
 
@@ -132,7 +132,7 @@
     )
 
 
-def encode_change(change: Change) -> RowChange:
+def encode_transaction(change: Change) -> RowTransaction:
     """Give the rows that a change rests on and those that it writes."""
     key = f'{names.ROLLOUT_PREFIX}{change.pool}'
     step_key = f'{names.STEP_PREFIX}{change.pool}'
@@ -155,7 +155,7 @@
         status: change.status_version,
         step: change.step_version,
     }
-    return RowChange(expected, puts)
+    return RowTransaction(expected, puts)
 
 
 def _encode(told: Mapping[str, str]) -> bytes:
--- a/seampond/platform/store.py
+++ b/seampond/platform/store.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RowChange:
+class RowTransaction:
     """What one call writes, and what it rests on; rows by table and key.
 
     Parameters
@@ -155,7 +155,7 @@
             If it surely was not.
 
         """
-        await self.change(RowChange({}, {(table, key): content}))
+        await self.commit(RowTransaction({}, {(table, key): content}))
 
     async def remove(self, table: str, key: str, version: int) -> None:
         """Remove one row if it still has this version.
@@ -169,9 +169,9 @@
 
         """
         row = (table, key)
-        await self.change(RowChange({row: version}, {}, (row,)))
+        await self.commit(RowTransaction({row: version}, {}, (row,)))
 
-    async def change(self, change: 'RowChange') -> None:
+    async def commit(self, change: 'RowTransaction') -> None:
         """Write and remove rows, all or none of them.
 
         Raises
@@ -217,7 +217,7 @@
                 'restored', step=names.FEED_PATH, peer=self._address
             )
 
-    def _is_outdated(self, change: RowChange) -> bool:
+    def _is_outdated(self, change: RowTransaction) -> bool:
         """Whether a change rests on a version of an earlier era."""
         eras = [era_of(version) for version in change.expected.values()]
         return any(0 < era < self._era for era in eras)
@@ -382,9 +382,9 @@
         """Remove one row if it still has this version."""
         await self._store.remove(self.name, key, version)
 
-    async def change(self, change: RowChange) -> None:
+    async def commit(self, change: RowTransaction) -> None:
         """Write and remove rows, also of other tables, all or none."""
-        await self._store.change(change)
+        await self._store.commit(change)
 
 
 def _name_row(row: RowName) -> dict[str, object]:
--- a/seampond/platform/tests/test_eras.py
+++ b/seampond/platform/tests/test_store_restores.py
@@ -13,7 +13,7 @@
 
 from seampond.clock import Clock
 from seampond.errors import ConflictError, PlatformError, UnknownOutcomeError
-from seampond.platform.store import RowChange, Store
+from seampond.platform.store import RowTransaction, Store
 from seampond.testing.scripted import (
     Received,
     run_scripted,
@@ -82,13 +82,13 @@
 
     async def test_no_write_rests_on_an_earlier_era(self) -> None:
         """It is not sent; one that crossed the restore is in doubt."""
-        change = RowChange({_ROW: self.page.rows[0].version}, {_ROW: b'4'})
+        change = RowTransaction({_ROW: self.page.rows[0].version}, {_ROW: b'4'})
         self.go_back()
         with self.assertRaises(UnknownOutcomeError):
-            await self.client.change(change)
+            await self.client.commit(change)
         calls = len(self.store.calls)
         with self.assertRaises(ConflictError):
-            await self.client.change(change)
+            await self.client.commit(change)
         self.assertEqual(len(self.store.calls), calls)
 
     async def test_errors_tell_the_era_too(self) -> None:
--- a/seampond/settings/gateway.py
+++ b/seampond/settings/gateway.py
@@ -27,10 +27,10 @@
 Address = Annotated[str, msgspec.Meta(pattern=_ADDRESS)]
 Name = Annotated[str, msgspec.Meta(pattern=_NAME)]
 Level = Annotated[str, msgspec.Meta(pattern=_LEVEL)]
-Milliseconds = Annotated[int, msgspec.Meta(gt=0)]
-MillisecondsOrNone = Annotated[int, msgspec.Meta(ge=0)]
-Amount = Annotated[float, msgspec.Meta(ge=0)]
-Seconds = Annotated[float, msgspec.Meta(gt=0)]
+PositiveMs = Annotated[int, msgspec.Meta(gt=0)]
+NonNegativeMs = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
+PositiveSeconds = Annotated[float, msgspec.Meta(gt=0)]
 
 
 class Section(
@@ -58,8 +58,8 @@
     """
 
     address: Address
-    wait_ms: Milliseconds = 15_000
-    history_ms: Milliseconds = 20_000
+    wait_ms: PositiveMs = 15_000
+    history_ms: PositiveMs = 20_000
 
     @property
     def call_ms(self) -> int:
@@ -102,18 +102,18 @@
     """
 
     strict_revoke: bool = True
-    revoke_ms: Milliseconds = 5000
-    proof_margin_ms: MillisecondsOrNone = 400
-    drain_ms: MillisecondsOrNone = 2000
-    retry_ratio: Amount = 0.2
-    retry_allowance: Amount = 20
-    retry_window_s: Seconds = 10
-    quota_overrun: Amount = 0.1
-    quota_slack: Amount = 0
-    quota_window_s: Seconds = 8
-    stop_ms: Milliseconds = 8000
-    expose_share: Amount = 0.1
-    expose_slack: Amount = 0
+    revoke_ms: PositiveMs = 5000
+    proof_margin_ms: NonNegativeMs = 400
+    drain_ms: NonNegativeMs = 2000
+    retry_ratio: NonNegativeFloat = 0.2
+    retry_allowance: NonNegativeFloat = 20
+    retry_window_s: PositiveSeconds = 10
+    quota_overrun: NonNegativeFloat = 0.1
+    quota_slack: NonNegativeFloat = 0
+    quota_window_s: PositiveSeconds = 8
+    stop_ms: PositiveMs = 8000
+    expose_share: NonNegativeFloat = 0.1
+    expose_slack: NonNegativeFloat = 0
 
     @property
     def proof_ms(self) -> int | None:
@@ -141,7 +141,7 @@
     peer_listen: Address
     store: StoreSettings
     bounds: BoundSettings = msgspec.field(default_factory=BoundSettings)
-    linger_ms: MillisecondsOrNone = 2600
+    linger_ms: NonNegativeMs = 2600
     logs: LogSettings = msgspec.field(default_factory=LogSettings)
 
 
--- a/seampond/settings/models.py
+++ b/seampond/settings/models.py
@@ -27,7 +27,7 @@
 Address = Annotated[str, AfterValidator(_check_address)]
 Name = Annotated[str, StringConstraints(pattern='^[a-z0-9][a-z0-9.-]{0,62}$')]
 Url = Annotated[str, StringConstraints(pattern='^http://[^/]+$')]
-Milliseconds = Annotated[int, Field(gt=0)]
+PositiveMs = Annotated[int, Field(gt=0)]
 
 
 class Section(BaseModel):
@@ -40,8 +40,8 @@
     """The links between entries and agents."""
 
     secret: str = Field(min_length=_MIN_SECRET)
-    heartbeat_ms: Milliseconds = 1000
-    silence_ms: Milliseconds = 4000
+    heartbeat_ms: PositiveMs = 1000
+    silence_ms: PositiveMs = 4000
 
 
 class PlatformSettings(Section):
@@ -50,7 +50,7 @@
     tables: Url
     objects: Url
     vms: Url
-    timeout_ms: Milliseconds = 2000
+    timeout_ms: PositiveMs = 2000
 
 
 class LogSettings(Section):
@@ -67,11 +67,11 @@
     reservations: int = Field(default=3, gt=0)
     links_per_pool: int = Field(default=24, gt=0)
     spill_tokens_per_ms: float = Field(default=8.0, gt=0)
-    spill_max_ms: Milliseconds = 400
+    spill_max_ms: PositiveMs = 400
     server_wait_ms: int = Field(default=2000, ge=0)
     attempts_max: int = Field(default=3, gt=0)
     retry_share: float = Field(default=0.1, ge=0, le=_HUNDRED_PERCENT)
-    resume_ms: Milliseconds = 10_000
+    resume_ms: PositiveMs = 10_000
     body_max_bytes: int = Field(default=8_388_608, gt=0)
 
 
@@ -81,10 +81,10 @@
     name: Name
     hall: Name
     listen: Address
-    drain_ms: Milliseconds = 120_000
+    drain_ms: PositiveMs = 120_000
     linger_ms: int = Field(default=1000, ge=0)
-    config_poll_ms: Milliseconds = 1000
-    vms_poll_ms: Milliseconds = 1000
+    config_poll_ms: PositiveMs = 1000
+    vms_poll_ms: PositiveMs = 1000
     links: LinkSettings
     platform: PlatformSettings
     routing: RoutingSettings = RoutingSettings()
@@ -100,7 +100,7 @@
     slots: int = Field(default=8, gt=0)
     slots_max: int = Field(default=64, gt=0)
     queue_max: int = Field(default=512, gt=0)
-    timeout_ms: Milliseconds = 120_000
+    timeout_ms: PositiveMs = 120_000
 
 
 class AgentSettings(Section):
@@ -110,11 +110,11 @@
     hall: Name
     listen: Address
     status_listen: Address
-    drain_ms: Milliseconds = 120_000
-    ask_ms: Milliseconds = 2000
-    keep_ms: Milliseconds = 60_000
-    hold_down_ms: Milliseconds = 1000
-    orphan_ms: Milliseconds = 10_000
+    drain_ms: PositiveMs = 120_000
+    ask_ms: PositiveMs = 2000
+    keep_ms: PositiveMs = 60_000
+    hold_down_ms: PositiveMs = 1000
+    orphan_ms: PositiveMs = 10_000
     backend: BackendSettings
     links: LinkSettings
     platform: PlatformSettings
@@ -151,7 +151,7 @@
     decode_tokens_per_s: float = Field(default=40, gt=0)
     batch_max: int = Field(default=16, gt=0)
     cache_tokens: int = Field(default=200_000, ge=0)
-    service_ms: Milliseconds = 5
+    service_ms: PositiveMs = 5
     report_lag_ms: int = Field(default=1000, ge=0)
     event_loss: float = Field(default=0.1, ge=0, le=_HUNDRED_PERCENT)
     seed: int = 1
--- a/seampond/templates/models.py
+++ b/seampond/templates/models.py
@@ -12,13 +12,13 @@
 Name = Annotated[str, StringConstraints(pattern='^[a-z0-9][a-z0-9-]{0,62}$')]
 
 
-class Rowlike(BaseModel):
+class RowModel(BaseModel):
     """Base: unknown fields are errors, nothing changes in place."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
-class Template(Rowlike):
+class Template(RowModel):
     """A kind of work.
 
     Explanation
@@ -37,7 +37,7 @@
     answer_tokens: int = Field(default=_DEFAULT_ANSWER_TOKENS, gt=0)
 
 
-class Parameters(Rowlike):
+class Parameters(RowModel):
     """What a workspace set for one template.
 
     Explanation
@@ -53,7 +53,7 @@
     may_wait: bool = False
 
 
-class Workspace(Rowlike):
+class Workspace(RowModel):
     """A customer's workspace: its key hashes and its parameters."""
 
     name: Name
