--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -102,7 +102,7 @@
 
     Parameters
     ----------
-    proof_ms : int or None
+    max_proof_age_ms : int or None
         How old the proof of the configuration may be for a request with a
         key, which may have been taken away since; None for any age, where a
         removed key may be served while the store cannot be reached.
@@ -121,7 +121,7 @@
         belief: ConfigurationState,
         names: HeaderNames,
         clock: Clock,
-        proof_ms: int | None,
+        max_proof_age_ms: int | None,
         charge: ChargeFunction,
         refund: Callable[[Tenant, float], None],
         has_spare_capacity: Callable[[str], bool],
@@ -130,7 +130,7 @@
         self._belief = belief
         self._names = names
         self._clock = clock
-        self.proof_ms = proof_ms
+        self.max_proof_age_ms = max_proof_age_ms
         self._charge = charge
         self._refund = refund
         self._has_spare_capacity = has_spare_capacity
@@ -163,10 +163,10 @@
     @property
     def is_proved(self) -> bool:
         """Whether requests with a key may be served by it."""
-        if self.proof_ms is None:
+        if self.max_proof_age_ms is None:
             return True
         age_ms = self.proof_age_ms
-        return age_ms is not None and age_ms <= self.proof_ms
+        return age_ms is not None and age_ms <= self.max_proof_age_ms
 
     def check_proof(self, job: Job) -> None:
         """Refuse a request with a key once the proof is too old.
--- a/seampond/forwarding/tests/test_admission.py
+++ b/seampond/forwarding/tests/test_admission.py
@@ -56,7 +56,9 @@
         self.assertEqual(self.admission.proof_age_ms, 4001)
         with self.assertRaises(Refusal):
             self.admission.check_proof(job)
-        self.admission.proof_ms = BoundSettings(strict_revoke=False).proof_ms
+        self.admission.max_proof_age_ms = BoundSettings(
+            strict_revoke=False
+        ).proof_ms
         self.admission.check_proof(job)
 
     def test_nobody_is_denied_without_a_young_proof(self) -> None:
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -100,7 +100,7 @@
         after = _flatten(msgspec.to_builtins(settings))
         self.settings = settings
         bounds = settings.bounds
-        self.web.admission.proof_ms = bounds.proof_ms
+        self.web.admission.max_proof_age_ms = bounds.proof_ms
         self.retry_budget.set_bounds(bounds.retry_ratio, bounds.retry_allowance)
         self.quotas.margin = make_quota_margin(bounds)
         self.rollout_follower.rollouts.limits = make_exposure_limits(bounds)
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -378,7 +378,9 @@
             gateway.reload(after)
         changed = getattr(logs.records[0], 'changed', None)
         self.assertEqual(changed, ['bounds.revoke_ms'])
-        self.assertEqual(gateway.components.web.admission.proof_ms, 2600)
+        self.assertEqual(
+            gateway.components.web.admission.max_proof_age_ms, 2600
+        )
         self.assertEqual((await self.ask(gateway)).status_code, 200)
 
     async def test_pages_for_balancer_and_operators(self) -> None:
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -125,7 +125,7 @@
     async def test_no_send_by_a_proof_that_is_over(self) -> None:
         """With the store away, so that nothing proves it anew."""
         gateway = await self.start_ready()
-        proof_ms = gateway.components.web.admission.proof_ms
+        proof_ms = gateway.components.web.admission.max_proof_age_ms
         assert proof_ms is not None
         for seconds in _JUMPS_S:
             sent = len(self.server.received)
