--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -118,10 +118,10 @@
         # Before the proofs, which ask for what is missing.
         for told in heartbeat.pages:
             self._take_page(told)
-        for table, currency in self.freshness.items():
+        for table, freshness in self.freshness.items():
             proof = heartbeat.proofs.get(hash_name(table))
             if proof is not None:
-                currency.take_proof(proof)
+                freshness.apply_proof(proof)
         now_ms = self.clock.now()
         self.backends.update_remote_loads(
             {
@@ -191,19 +191,20 @@
     def _take_page(self, told: RelayedPage) -> None:
         """Take what another gateway has read."""
         page = Page(
-            told.rows, told.version, told.store_ms, 0, 0, is_whole=False
+            told.rows, told.version, told.store_ms, 0, 0, is_snapshot=False
         )
         for table, watch in self.watches.items():
             if hash_name(table) == told.table:
-                watch.take_told(told.since, page)
+                watch.apply_relayed(told.since, page)
 
     def _proofs(self) -> dict[int, FreshnessProof]:
         """Give what is young; each heartbeat after a proof may be lost."""
         oldest_ms = self.clock.now() - _PROOF_TOLD_MS
         return {
-            hash_name(table): currency.proof
-            for table, currency in self.freshness.items()
-            if currency.proof is not None and currency.told_ms > oldest_ms
+            hash_name(table): freshness.proof
+            for table, freshness in self.freshness.items()
+            if freshness.proof is not None
+            and freshness.proof_updated_ms > oldest_ms
         }
 
     def _loads(self) -> dict[int, Load]:
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -37,7 +37,7 @@
 )
 from seampond.suspension import watch_suspension
 from seampond.tasks import run_tasks
-from seampond.watches import Page, Watch, keep_current
+from seampond.watches import Page, Watch, probe_when_stale
 from seampond.web import WebServer, serve_http
 
 _STOP_MARGIN_MS = 500
@@ -155,7 +155,9 @@
         components.watches[table] = watch
         async with run_tasks(
             watch.run(),
-            keep_current(watch, age_ms, lambda: components.peers.rank, clock),
+            probe_when_stale(
+                watch, age_ms, lambda: components.peers.rank, clock
+            ),
         ):
             yield
 
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -102,7 +102,7 @@
             except PlatformError as error:
                 unreadable.append(row.key)
                 self._log_refused(row.key, error)
-        if page.is_whole:
+        if page.is_snapshot:
             self._backends.replace_all(servers, unreadable)
         else:
             self._backends.update(servers, gone)
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -63,7 +63,7 @@
         latest = {row.key: row for row in rows}
         orders = list(_read_all(latest.values(), parse_order))
         gone = [pool_name(row) for row in latest.values() if row.is_deleted]
-        if page.is_whole:
+        if page.is_snapshot:
             listed = set(map(pool_name, latest.values()))
             gone.extend(set(self.rollouts.ordered) - listed)
         self.rollouts.take_orders(
@@ -78,7 +78,7 @@
         statuses = [row for row in latest.values() if is_status_row(row)]
         steps = [row for row in latest.values() if is_step_row(row)]
         # A row that is not there any more is one that nothing rests on.
-        lacking = self.rollouts.told if page.is_whole else ()
+        lacking = self.rollouts.told if page.is_snapshot else ()
         self.rollouts.take_states(
             dict.fromkeys(lacking)
             | {pool_name(row): None for row in statuses}
--- a/seampond/gateway/tests/test_followers.py
+++ b/seampond/gateway/tests/test_followers.py
@@ -23,8 +23,8 @@
     return Row(key, text, version, is_deleted)
 
 
-def _page(*rows: Row, is_whole: bool = False) -> Page:
-    return Page(rows, 9, 0, 0, 0, is_whole)
+def _page(*rows: Row, is_snapshot: bool = False) -> Page:
+    return Page(rows, 9, 0, 0, 0, is_snapshot)
 
 
 class ServerFollowerTest(unittest.TestCase):
@@ -37,7 +37,7 @@
             self.backends, ZONE, Clock(), lambda: 1, build_promises()
         )
         self.follower = ServerFollower(self.backends, scheduler)
-        self.follower.handle_page(_page(_row('i-1', 1), is_whole=True))
+        self.follower.handle_page(_page(_row('i-1', 1), is_snapshot=True))
 
     def test_row_that_went_and_came_back_is_there(self) -> None:
         """Changes of one row in one answer count in their order."""
@@ -53,7 +53,7 @@
 
     def test_whole_read_replaces_the_list(self) -> None:
         """What a whole read does not hold is gone."""
-        self.follower.handle_page(_page(_row('i-2', 2), is_whole=True))
+        self.follower.handle_page(_page(_row('i-2', 2), is_snapshot=True))
         self.assertEqual(self._listed(), ['i-2'])
 
     def test_bad_row_harms_no_other(self) -> None:
--- a/seampond/gateway/tests/test_freshness_metrics.py
+++ b/seampond/gateway/tests/test_freshness_metrics.py
@@ -24,7 +24,7 @@
 
         self.assertFalse(read('table_missing_seconds', **labels))
         self.store.is_down = True
-        currency = gateway.components.freshness[CONFIGURATION_TABLE]
-        currency.take_proof(FreshnessProof(currency.version + 1, _LATER_MS))
+        freshness = gateway.components.freshness[CONFIGURATION_TABLE]
+        freshness.apply_proof(FreshnessProof(freshness.version + 1, _LATER_MS))
         await until_true(lambda: read('table_missing_seconds', **labels))
         self.assertTrue(read('configuration_proof_age_seconds'))
--- a/seampond/gateway/tests/test_relaying.py
+++ b/seampond/gateway/tests/test_relaying.py
@@ -35,7 +35,7 @@
         gateway = await self.start_late()
         components = gateway.components
         watch = components.watches[SERVERS_TABLE]
-        await until_true(lambda: not watch.is_new)
+        await until_true(lambda: not watch.is_unconfirmed)
         since = components.freshness[SERVERS_TABLE].version
         content = {
             'service': POOL,
@@ -61,7 +61,7 @@
         components.is_heartbeat_due.clear()
         for size, told in ((100, 1), (_LARGE_BYTES, 0)):
             row = Row('i-9', b'x' * size, 8)
-            page = Page((row,), 9, 1, 0, 0, is_whole=False)
+            page = Page((row,), 9, 1, 0, 0, is_snapshot=False)
             components.relay(SERVERS_TABLE, 7, page)
             self.assertTrue(components.is_heartbeat_due.is_set())
             self.assertEqual(len(components.make_heartbeat(1).pages), told)
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -162,7 +162,7 @@
     def test_spoiled_row_in_a_whole_read(self) -> None:
         """Its server is not taken for one that has left."""
         row = Row('i-1', b'{', 3)
-        self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_whole=True))
+        self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_snapshot=True))
         self.assertTrue(pick(self.backends, 'i-1').is_listed)
 
     def test_bad_row_is_told_once(self) -> None:
@@ -179,14 +179,14 @@
         """Whatever comes with them, in one answer."""
         bad = [Row(f'b-{key}', content, 2) for key, content in enumerate(told)]
         good = Row('i-2', _encode(_GOOD | {'address': '10.0.0.2:80'}), 3)
-        page = Page((*bad, good), 9, 0, 0, 0, is_whole=False)
+        page = Page((*bad, good), 9, 0, 0, 0, is_snapshot=False)
         self.follower.handle_page(page)
         self.assertTrue(pick(self.backends, 'i-2').takes_work)
         self.assertTrue(pick(self.backends, 'i-1').takes_work)
 
     def _take(self, content: bytes) -> None:
         row = Row('i-1', content, 2)
-        self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_whole=False))
+        self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_snapshot=False))
 
 
 class OtherRowTest(unittest.TestCase):
@@ -210,10 +210,10 @@
         """A row that is none neither adds nor removes a gateway."""
         peers = Peers('g0', ManualClock())
         good = Row('g1', b'{"address": "10.0.0.1:7600"}', 2)
-        apply_gateway_rows(peers, Page((good,), 9, 0, 0, 0, is_whole=True))
+        apply_gateway_rows(peers, Page((good,), 9, 0, 0, 0, is_snapshot=True))
         rows = [Row(f'b-{key}', content, 2) for key, content in enumerate(told)]
         spoiled = Row('g1', b'[' * 100_000, 3)
-        page = Page((*rows, spoiled), 9, 0, 0, 0, is_whole=True)
+        page = Page((*rows, spoiled), 9, 0, 0, 0, is_snapshot=True)
         apply_gateway_rows(peers, page)
         self.assertEqual(peers.address_of('g1'), '10.0.0.1:7600')
 
--- a/seampond/gateway/tests/test_stale_configuration.py
+++ b/seampond/gateway/tests/test_stale_configuration.py
@@ -56,8 +56,8 @@
         """The route or the key may have been added; callers try again."""
         gateway = await self.start_ready()
         self.store.is_down = True
-        currency = gateway.components.freshness[CONFIGURATION_TABLE]
-        currency.take_proof(FreshnessProof(currency.version + 1, _LATER_MS))
+        freshness = gateway.components.freshness[CONFIGURATION_TABLE]
+        freshness.apply_proof(FreshnessProof(freshness.version + 1, _LATER_MS))
         for path, key in (('/new/', 'k1'), ('/x/y', 'new')):
             response = await self.ask(gateway, path, key)
             self.assertEqual(
@@ -68,7 +68,7 @@
         self.assertEqual(response.status_code, HTTPStatus.OK)
         self.store.is_down = False
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: not currency.is_missing)
+        await until_true(lambda: not freshness.is_behind)
         for path, key, status in (
             ('/new/', 'k1', HTTPStatus.NOT_FOUND),
             ('/x/y', 'new', HTTPStatus.UNAUTHORIZED),
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -68,7 +68,7 @@
     configuration_state: ConfigurationState,
     backends: Backends,
     peers: Peers,
-    store_time: StoreClock,
+    store_clock: StoreClock,
 ) -> RolloutManager:
     """Wire the roll-outs."""
 
@@ -92,8 +92,8 @@
         has_pool,
         list_reports,
         hash_name,
-        store_time.store_ms,
-        store_time.local_ms,
+        store_clock.to_store_ms,
+        store_clock.to_local_ms,
     )
 
 
@@ -109,14 +109,14 @@
             (configuration_state.proof_age_ms(clock.now()) or 0) / MS_PER_SECOND
         )
     )
-    for table, currency in freshness.items():
+    for table, table_freshness in freshness.items():
         metrics.missing.labels(table).set_function(
-            functools.partial(_missing_seconds, currency)
+            functools.partial(_missing_seconds, table_freshness)
         )
 
 
-def _missing_seconds(currency: TableFreshness) -> float:
-    return currency.missing_ms / MS_PER_SECOND
+def _missing_seconds(table_freshness: TableFreshness) -> float:
+    return table_freshness.behind_ms / MS_PER_SECOND
 
 
 def make_components(
@@ -144,9 +144,9 @@
         hash_name,
         lambda word: metrics.server_signals.labels(word).inc(),
     )
-    store_time = StoreClock()
+    store_clock = StoreClock()
     rollouts = make_rollouts(
-        bounds, configuration_state, backends, peers, store_time
+        bounds, configuration_state, backends, peers, store_clock
     )
     stalls = EventLoopStalls()
     versions = RolloutVersions(rollouts, clock, stalls)
@@ -178,7 +178,7 @@
     )
     quarantine = Quarantine(
         Suspects(clock),
-        Trials(store_time, clock),
+        Trials(store_clock, clock),
         hash_name,
         is_heartbeat_due.set,
         lambda leave: metrics.trials.labels(leave).inc(),
@@ -190,19 +190,21 @@
     )
     freshness = {
         CONFIGURATION_TABLE: TableFreshness(
-            clock, store_time, configuration_follower.record_proof
+            clock, store_clock, configuration_follower.record_proof
         ),
         SERVERS_TABLE: TableFreshness(
-            clock, store_time, lambda proved_ms: None
+            clock, store_clock, lambda proved_ms: None
         ),
         GATEWAYS_TABLE: TableFreshness(
-            clock, store_time, lambda proved_ms: None
+            clock, store_clock, lambda proved_ms: None
+        ),
+        STATUS_TABLE: TableFreshness(
+            clock, store_clock, lambda proved_ms: None
         ),
-        STATUS_TABLE: TableFreshness(clock, store_time, lambda proved_ms: None),
     }
     _show_ages(metrics, configuration_state, freshness, clock)
     configuration_state.is_outdated = lambda: (
-        freshness[CONFIGURATION_TABLE].is_missing
+        freshness[CONFIGURATION_TABLE].is_behind
     )
     admission = Admission(
         configuration_state,
--- a/seampond/platform/rollouts.py
+++ b/seampond/platform/rollouts.py
@@ -13,7 +13,7 @@
 from seampond.platform.rows import NonNegativeFloat, NonNegativeInt, decode_row
 from seampond.platform.store import RowTransaction
 from seampond.rollouts import Change, Order, State, Status, Step
-from seampond.watches import Row, number_of
+from seampond.watches import Row, revision_of
 
 _STATES = MappingProxyType(
     {
@@ -87,7 +87,7 @@
         raise _refuse(row, '`duration-s` is not above 0')
     duration_ms = round(order.duration_s * MS_PER_SECOND)
     return Order(
-        pool, order.target_version, duration_ms, number_of(row.version)
+        pool, order.target_version, duration_ms, revision_of(row.version)
     )
 
 
@@ -104,7 +104,7 @@
     state = _STATES.get(status.state)
     if state is None:
         raise _refuse(row, f'`state` is {status.state!r}')
-    return Status(state, status.target_version, number_of(row.version))
+    return Status(state, status.target_version, revision_of(row.version))
 
 
 def is_status_row(row: Row) -> bool:
@@ -128,7 +128,7 @@
     """
     step = _decode(row, _Step)
     return Step(
-        step.order, step.is_closing, step.since_ms, number_of(row.version)
+        step.order, step.is_closing, step.since_ms, revision_of(row.version)
     )
 
 
--- a/seampond/platform/store.py
+++ b/seampond/platform/store.py
@@ -31,7 +31,7 @@
     Row,
     era_of,
     make_version,
-    number_of,
+    revision_of,
 )
 
 # Some hundred times what the store needs for an answer on a good day, and
@@ -123,7 +123,7 @@
                     'restored meanwhile', step='read', peer=self._address
                 )
             rows.extend(page.rows)
-        return replace(first, rows=tuple(rows), is_whole=True)
+        return replace(first, rows=tuple(rows), is_snapshot=True)
 
     async def read_changes(self, table: str, since: int, wait_ms: int) -> Page:
         """Wait for changes of a table after version `since`.
@@ -136,7 +136,7 @@
         """
         query = {
             'table': table,
-            names.SINCE_PARAMETER: str(number_of(since)),
+            names.SINCE_PARAMETER: str(revision_of(since)),
             names.WAIT_PARAMETER: str(wait_ms),
         }
         self._check_era(since)
@@ -190,7 +190,7 @@
             )
         parts = {
             names.EXPECTED_FIELD: [
-                _name_row(row) | {'ver': number_of(version)}
+                _name_row(row) | {'ver': revision_of(version)}
                 for row, version in change.expected.items()
             ],
             'put': [
@@ -239,7 +239,7 @@
                 int(content['now_ms']),
                 sent_ms,
                 self._clock.now(),
-                is_whole=False,
+                is_snapshot=False,
             )
         except _NOT_AN_ANSWER as error:
             raise self._failure(path, error) from error
--- a/seampond/platform/tests/test_store_restores.py
+++ b/seampond/platform/tests/test_store_restores.py
@@ -24,7 +24,7 @@
     HistoryGoneError,
     era_of,
     make_version,
-    number_of,
+    revision_of,
 )
 
 _TABLE = 't'
@@ -44,7 +44,7 @@
         """And give both back."""
         one, two = make_version(era, number), make_version(other_era, other)
         self.assertEqual(one < two, (era, number) < (other_era, other))
-        self.assertEqual((era_of(one), number_of(one)), (era, number))
+        self.assertEqual((era_of(one), revision_of(one)), (era, number))
 
 
 class RestoreTest(unittest.IsolatedAsyncioTestCase):
--- a/seampond/quarantine/tests/test_trials.py
+++ b/seampond/quarantine/tests/test_trials.py
@@ -62,9 +62,9 @@
 
     def make_trials(self) -> Trials:
         """Give the trials of a gateway that has just started."""
-        store_time = StoreClock()
-        store_time.take(Page((), 1, 5000, 1000, 1000, is_whole=False))
-        trials = Trials(store_time, self.clock)
+        store_clock = StoreClock()
+        store_clock.update(Page((), 1, 5000, 1000, 1000, is_snapshot=False))
+        trials = Trials(store_clock, self.clock)
         trials.table = self.table
         return trials
 
--- a/seampond/quarantine/trials.py
+++ b/seampond/quarantine/trials.py
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    store_time : StoreClock
+    store_clock : StoreClock
         Sets the store's clock against ours.
 
     Attributes
@@ -62,11 +62,11 @@
 
     """
 
-    def __init__(self, store_time: StoreClock, clock: Clock) -> None:
+    def __init__(self, store_clock: StoreClock, clock: Clock) -> None:
         """Start without a table."""
         self.table: TrialTable | None = None
         self.is_known = True
-        self._store_time = store_time
+        self._store_clock = store_clock
         self._clock = clock
         self._rows: dict[int, TrialRow] = {}
         self._claimed: set[int] = set()
@@ -87,7 +87,7 @@
             return None
         if not row.trials:
             return max(0, self._failed_until_ms - now_ms)
-        due_ms = self._store_time.local_ms(row.at_ms)
+        due_ms = self._store_clock.to_local_ms(row.at_ms)
         due_ms += TRIAL_PAUSES_MS[row.trials]
         return max(0, due_ms - now_ms, self._failed_until_ms - now_ms)
 
@@ -169,12 +169,12 @@
         row = self._rows.get(request, TrialRow())
         if not row.trials:
             return row
-        age_ms = self._clock.now() - self._store_time.local_ms(row.at_ms)
+        age_ms = self._clock.now() - self._store_clock.to_local_ms(row.at_ms)
         return TrialRow(version=row.version) if age_ms > MS_PER_DAY else row
 
     async def _write(self, table: TrialTable, request: int) -> bool:
         known = self._row(request)
-        at_ms = self._store_time.store_ms(self._clock.now())
+        at_ms = self._store_clock.to_store_ms(self._clock.now())
         try:
             await table.write_trial(
                 request, TrialRow(known.trials + 1, at_ms, known.version)
--- a/seampond/sharing/heartbeats.py
+++ b/seampond/sharing/heartbeats.py
@@ -239,7 +239,7 @@
         loadRunning=[load.running for load in loads.values()],
         loadUnread=[_fit(load.pending_tokens) for load in loads.values()],
         proofTables=list(proofs),
-        proofChanged=[proof.changed for proof in proofs.values()],
+        proofChanged=[proof.latest_change for proof in proofs.values()],
         proofStoreMs=[proof.store_ms for proof in proofs.values()],
         levelTenants=list(levels),
         levelUnits=list(levels.values()),
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -184,7 +184,7 @@
                 'row of a gateway refused',
                 extra={'key': row.key, 'reason': error.message},
             )
-    if page.is_whole:
+    if page.is_snapshot:
         # A removal that was missed shows only by the row that is not there.
         listed |= dict.fromkeys(peers.names - latest.keys(), '')
         if peers.registration_version and peers.name not in latest:
--- a/seampond/testing/narrow_links.py
+++ b/seampond/testing/narrow_links.py
@@ -85,7 +85,7 @@
         sent_ms = self._clock.now()
         await self._reach()
         rows = tuple(self._table.rows.values())
-        return await self._carry(rows, sent_ms, _WHOLE_MS, is_whole=True)
+        return await self._carry(rows, sent_ms, _WHOLE_MS, is_snapshot=True)
 
     async def read_changes(self, since: int, wait_ms: int) -> Page:
         """Wait for changes, then read each that was made since."""
@@ -105,7 +105,7 @@
                 left_ms = sent_ms + wait_ms - self._clock.now()
                 await self._clock.sleep(max(0, left_ms) + _SILENCE_MS)
                 raise PlatformError('TimeoutError', step=_STEP)
-        return await self._carry(rows, sent_ms, _CHANGES_MS, is_whole=False)
+        return await self._carry(rows, sent_ms, _CHANGES_MS, is_snapshot=False)
 
     async def _reach(self) -> None:
         await self._clock.sleep(_LATENCY_MS)
@@ -121,7 +121,7 @@
         sent_ms: int,
         most_ms: int,
         *,
-        is_whole: bool,
+        is_snapshot: bool,
     ) -> Page:
         """Let an answer that is made now come over the link."""
         version = self._table.version
@@ -141,5 +141,5 @@
             made_ms + _STORE_AHEAD_MS,
             sent_ms,
             self._clock.now(),
-            is_whole,
+            is_snapshot,
         )
--- a/seampond/watches/__init__.py
+++ b/seampond/watches/__init__.py
@@ -2,13 +2,13 @@
 
 from seampond.watches.freshness import FreshnessProof as FreshnessProof
 from seampond.watches.freshness import TableFreshness as TableFreshness
-from seampond.watches.probe import keep_current as keep_current
+from seampond.watches.probe import probe_when_stale as probe_when_stale
 from seampond.watches.rows import HistoryGoneError as HistoryGoneError
 from seampond.watches.rows import Page as Page
 from seampond.watches.rows import Row as Row
 from seampond.watches.rows import TableSource as TableSource
 from seampond.watches.rows import era_of as era_of
 from seampond.watches.rows import make_version as make_version
-from seampond.watches.rows import number_of as number_of
+from seampond.watches.rows import revision_of as revision_of
 from seampond.watches.store_clock import StoreClock as StoreClock
 from seampond.watches.watch import Watch as Watch
--- a/seampond/watches/failures.py
+++ b/seampond/watches/failures.py
@@ -7,7 +7,7 @@
 from seampond.errors import CutAnswerError, PlatformError
 
 
-class Tell(Protocol):
+class LogEvent(Protocol):
     """Logs an event with a detail and figures."""
 
     def __call__(self, event: str, detail: str, **figures: int) -> None:
@@ -30,16 +30,16 @@
     """
 
     def __init__(
-        self, clock: Clock, count: Callable[[str], None], tell: Tell
+        self, clock: Clock, count: Callable[[str], None], log_event: LogEvent
     ) -> None:
         """Start with no spell."""
         self._clock = clock
         self._count = count
-        self._tell = tell
+        self._log_event = log_event
         self._reason = ''
         self._since_ms = 0
 
-    def note(self, error: PlatformError) -> None:
+    def record_failure(self, error: PlatformError) -> None:
         """Count a failed call; log it where its reason is another one."""
         self._count(error.step)
         reason = f'{type(error).__name__} {error.message}'
@@ -49,13 +49,13 @@
             self._since_ms = self._clock.now()
         self._reason = reason
         received = error.received if isinstance(error, CutAnswerError) else 0
-        self._tell('store call failed', reason, received=received)
+        self._log_event('store call failed', reason, received=received)
 
-    def note_answer(self) -> None:
+    def record_success(self) -> None:
         """Log the end of a spell, if there was one."""
         if not self._reason:
             return
-        self._tell(
+        self._log_event(
             'store answers again',
             self._reason,
             failed_ms=self._clock.now() - self._since_ms,
--- a/seampond/watches/freshness.py
+++ b/seampond/watches/freshness.py
@@ -21,14 +21,14 @@
 
     Parameters
     ----------
-    changed : int
+    latest_change : int
         The version of the table's newest change at that moment.
     store_ms : int
         The moment, by the store's steady clock.
 
     """
 
-    changed: int
+    latest_change: int
     store_ms: int
 
 
@@ -52,13 +52,13 @@
     Examples
     --------
     >>> clock = Clock(lambda: 600)
-    >>> currency = TableFreshness(clock, StoreClock(), lambda proved_ms: None)
+    >>> freshness = TableFreshness(clock, StoreClock(), lambda proved_ms: None)
     >>> page = Page((), 7, 5000, 500, 500, False)
-    >>> currency.check(page)
-    >>> currency.take(page)
+    >>> freshness.check(page)
+    >>> freshness.apply_page(page)
     True
-    >>> currency.take_proof(FreshnessProof(changed=6, store_ms=5040))
-    >>> currency.proved_ms
+    >>> freshness.apply_proof(FreshnessProof(latest_change=6, store_ms=5040))
+    >>> freshness.proved_ms
     540
 
     """
@@ -66,7 +66,7 @@
     def __init__(
         self,
         clock: Clock,
-        store_time: StoreClock,
+        store_clock: StoreClock,
         on_proof: Callable[[int], None],
     ) -> None:
         """Start with nothing held."""
@@ -74,27 +74,31 @@
         self.proof: FreshnessProof | None = None
         self.proved_ms = 0
         # When there was last something to tell others.
-        self.told_ms = 0
-        self._store_time = store_time
+        self.proof_updated_ms = 0
+        self._store_clock = store_clock
         self._clock = clock
         self._on_proof = on_proof
-        self._changed = 0
+        self._latest_change = 0
         # The newest change that we have heard of and do not hold.
-        self._missing = 0
-        self._missing_ms = 0
-        self._is_missing = asyncio.Event()
+        self._missing_version = 0
+        self._behind_since_ms = 0
+        self._behind_event = asyncio.Event()
         # Proofs of changes that we did not hold yet, the latest last.
-        self._early: deque[FreshnessProof] = deque(maxlen=_HELD_PROOFS)
+        self._pending_proofs: deque[FreshnessProof] = deque(maxlen=_HELD_PROOFS)
 
     @property
-    def is_missing(self) -> bool:
+    def is_behind(self) -> bool:
         """Whether we have heard of a change that we do not hold."""
-        return bool(self._missing)
+        return bool(self._missing_version)
 
     @property
-    def missing_ms(self) -> int:
+    def behind_ms(self) -> int:
         """For how long we have known of a change that we do not hold."""
-        return self._clock.now() - self._missing_ms if self._missing else 0
+        return (
+            self._clock.now() - self._behind_since_ms
+            if self._missing_version
+            else 0
+        )
 
     def check(self, page: Page) -> None:
         """Check that an answer belongs to its call; learn from its times.
@@ -105,13 +109,13 @@
             If it was meant for an earlier call.
 
         """
-        self._store_time.take(page)
+        self._store_clock.update(page)
 
-    def carried_ms(self, page: Page) -> int:
+    def transfer_ms(self, page: Page) -> int:
         """Give how long an answer was on its way, a little too much."""
-        return page.received_ms - self._store_time.local_ms(page.store_ms)
+        return page.received_ms - self._store_clock.to_local_ms(page.store_ms)
 
-    def take(self, page: Page) -> bool:
+    def apply_page(self, page: Page) -> bool:
         """Note an answer of the store that we hold now.
 
         Returns
@@ -123,60 +127,60 @@
         """
         self.version = max(self.version, page.version)
         changes = (row.version for row in page.rows)
-        self._changed = max(self._changed, max(changes, default=0))
-        if self.version >= self._missing:
-            self._missing = 0
-            self._is_missing.clear()
+        self._latest_change = max(self._latest_change, max(changes, default=0))
+        if self.version >= self._missing_version:
+            self._missing_version = 0
+            self._behind_event.clear()
         # A whole read may be some seconds behind; a change feed is not.
-        if not page.is_whole:
-            self._prove(FreshnessProof(self._changed, page.store_ms))
+        if not page.is_snapshot:
+            self._prove(FreshnessProof(self._latest_change, page.store_ms))
             return True
-        self._note_change()
-        return self._take_early()
+        self._update_proof()
+        return self._apply_pending_proofs()
 
-    def take_proof(self, proof: FreshnessProof) -> None:
+    def apply_proof(self, proof: FreshnessProof) -> None:
         """Take what another process knows."""
         if not self.version:
             return
-        if era_of(proof.changed) < era_of(self.version):
+        if era_of(proof.latest_change) < era_of(self.version):
             # What was newest before a restore of the store may be lost.
             return
-        if proof.changed <= self.version:
+        if proof.latest_change <= self.version:
             # A whole read does not show what was removed: others may know.
-            self._changed = max(self._changed, proof.changed)
+            self._latest_change = max(self._latest_change, proof.latest_change)
             self._prove(proof)
             return
-        if not self._missing:
-            self._missing_ms = self._clock.now()
-        self._missing = max(self._missing, proof.changed)
-        self._early.append(proof)
-        self._is_missing.set()
+        if not self._missing_version:
+            self._behind_since_ms = self._clock.now()
+        self._missing_version = max(self._missing_version, proof.latest_change)
+        self._pending_proofs.append(proof)
+        self._behind_event.set()
 
-    def due_ms(self, age_ms: int, behind_ms: int) -> int:
+    def next_probe_ms(self, max_age_ms: int, max_behind_ms: int) -> int:
         """Give when to ask the store.
 
         Parameters
         ----------
-        age_ms : int
+        max_age_ms : int
             How old a proof may be.
-        behind_ms : int
+        max_behind_ms : int
             How long a change may be missing that we have heard of.
 
         """
-        if self._missing:
-            return self._missing_ms + behind_ms
-        return self.proved_ms + age_ms
-
-    async def wait_missing(self, most_ms: int) -> None:
-        """Wait until a change is missing, for `most_ms` at the most."""
-        if self._missing:
-            await self._clock.sleep(most_ms)
+        if self._missing_version:
+            return self._behind_since_ms + max_behind_ms
+        return self.proved_ms + max_age_ms
+
+    async def wait_until_behind(self, timeout_ms: int) -> None:
+        """Wait until a change is missing, for `timeout_ms` at the most."""
+        if self._missing_version:
+            await self._clock.sleep(timeout_ms)
             return
         with suppress(TimeoutError):
-            async with asyncio.timeout(most_ms / MS_PER_SECOND):
-                await self._is_missing.wait()
+            async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
+                await self._behind_event.wait()
 
-    def _note_change(self) -> None:
+    def _update_proof(self) -> None:
         """Let others know of a change that a whole read has shown.
 
         Explanation
@@ -184,11 +188,16 @@
         It proves no later moment, but what was newest at an earlier one is
         not newer than this change, and who lacks it has to ask.
         """
-        if self.proof is not None and self.proof.changed < self._changed:
-            self.proof = FreshnessProof(self._changed, self.proof.store_ms)
-            self.told_ms = self._clock.now()
-
-    def _take_early(self) -> bool:
+        if (
+            self.proof is not None
+            and self.proof.latest_change < self._latest_change
+        ):
+            self.proof = FreshnessProof(
+                self._latest_change, self.proof.store_ms
+            )
+            self.proof_updated_ms = self._clock.now()
+
+    def _apply_pending_proofs(self) -> bool:
         """Take the proofs that came before what they prove.
 
         Explanation
@@ -196,17 +205,21 @@
         Rows that are written again and again are never held in the version
         that was told last; without these nothing would be proved meanwhile.
         """
-        held = [proof for proof in self._early if proof.changed <= self.version]
+        held = [
+            proof
+            for proof in self._pending_proofs
+            if proof.latest_change <= self.version
+        ]
         for proof in held:
-            self._early.remove(proof)
-            self.take_proof(proof)
+            self._pending_proofs.remove(proof)
+            self.apply_proof(proof)
         return bool(held)
 
     def _prove(self, proof: FreshnessProof) -> None:
         if self.proof is not None and proof.store_ms <= self.proof.store_ms:
             return
         self.proof = proof
-        self.told_ms = self._clock.now()
-        proved_ms = self._store_time.local_ms(proof.store_ms)
+        self.proof_updated_ms = self._clock.now()
+        proved_ms = self._store_clock.to_local_ms(proof.store_ms)
         self.proved_ms = max(self.proved_ms, proved_ms)
         self._on_proof(proved_ms)
--- a/seampond/watches/probe.py
+++ b/seampond/watches/probe.py
@@ -15,8 +15,8 @@
 _SPREAD_MS = 100
 
 
-async def keep_current(
-    watch: Watch, age_ms: int, rank: Callable[[], int], clock: Clock
+async def probe_when_stale(
+    watch: Watch, max_age_ms: int, rank: Callable[[], int], clock: Clock
 ) -> None:
     """Probe a watch's table for as long as the process lives.
 
@@ -29,21 +29,23 @@
 
     Parameters
     ----------
-    age_ms : int
+    max_age_ms : int
         How old a proof may be.
     rank : Callable[[], int]
         How many others ask before us.
 
     """
-    currency = watch.currency
+    freshness = watch.freshness
     while True:
         steps = min(_MOST_STEPS, rank())
-        behind_ms = _BEHIND_MS
+        max_behind_ms = _BEHIND_MS
         if not watch.is_follower():
-            behind_ms = random.randrange(_SPREAD_MS)
-        due_ms = currency.due_ms(age_ms + steps * _STEP_MS, behind_ms)
-        left_ms = due_ms - clock.now()
+            max_behind_ms = random.randrange(_SPREAD_MS)
+        next_probe_ms = freshness.next_probe_ms(
+            max_age_ms + steps * _STEP_MS, max_behind_ms
+        )
+        left_ms = next_probe_ms - clock.now()
         if left_ms > 0:
-            await currency.wait_missing(left_ms)
+            await freshness.wait_until_behind(left_ms)
         elif not await watch.probe():
             await clock.sleep(_AGAIN_MS * random.uniform(0.5, 1))
--- a/seampond/watches/rows.py
+++ b/seampond/watches/rows.py
@@ -8,7 +8,7 @@
 _ERA_BITS = 40
 
 
-def make_version(era: int, number: int) -> int:
+def make_version(era: int, revision: int) -> int:
     """Give the version of a row or a table, comparable over eras.
 
     Explanation
@@ -23,7 +23,7 @@
     ----------
     era : int
         How often the store was restored.
-    number : int
+    revision : int
         The store's own version.
 
     Examples
@@ -34,7 +34,7 @@
     True
 
     """
-    return (era << _ERA_BITS) | number
+    return (era << _ERA_BITS) | revision
 
 
 def era_of(version: int) -> int:
@@ -49,12 +49,12 @@
     return version >> _ERA_BITS
 
 
-def number_of(version: int) -> int:
+def revision_of(version: int) -> int:
     """Give the store's own number of a version.
 
     Examples
     --------
-    >>> number_of(make_version(2, 9))
+    >>> revision_of(make_version(2, 9))
     9
 
     """
@@ -99,7 +99,7 @@
         The store's steady clock at the answer.
     sent_ms, received_ms : int
         Our clock when the call was sent and when it was answered.
-    is_whole : bool
+    is_snapshot : bool
         Whether these are all rows, and not only those that changed.
 
     """
@@ -109,7 +109,7 @@
     store_ms: int
     sent_ms: int
     received_ms: int
-    is_whole: bool
+    is_snapshot: bool
 
 
 class TableSource(Protocol):
--- a/seampond/watches/store_clock.py
+++ b/seampond/watches/store_clock.py
@@ -18,9 +18,9 @@
     Examples
     --------
     >>> time = StoreClock()
-    >>> time.take(Page((), 1, 5010, 10, 14, False))
-    >>> time.take(Page((), 1, 7000, 500, 2003, False))
-    >>> time.local_ms(7000)
+    >>> time.update(Page((), 1, 5010, 10, 14, False))
+    >>> time.update(Page((), 1, 7000, 500, 2003, False))
+    >>> time.to_local_ms(7000)
     2000
 
     """
@@ -30,7 +30,7 @@
         self._most_ms = math.inf
         self._least_ms = -math.inf
 
-    def take(self, page: Page) -> None:
+    def update(self, page: Page) -> None:
         """Learn from an answer.
 
         Raises
@@ -46,18 +46,18 @@
         self._most_ms = min(self._most_ms, most_ms)
         self._least_ms = max(self._least_ms, least_ms)
 
-    def local_ms(self, store_ms: int) -> int:
+    def to_local_ms(self, store_ms: int) -> int:
         """Give a moment of our clock that is not after the store's."""
         return store_ms - round(self._most_ms)
 
-    def store_ms(self, local_ms: int) -> int:
+    def to_store_ms(self, local_ms: int) -> int:
         """Give a moment of the store's clock that is not before ours.
 
         Examples
         --------
         >>> time = StoreClock()
-        >>> time.take(Page((), 1, 5010, 10, 14, False))
-        >>> time.store_ms(20)
+        >>> time.update(Page((), 1, 5010, 10, 14, False))
+        >>> time.to_store_ms(20)
         5020
 
         """
--- a/seampond/watches/tests/test_narrow_links.py
+++ b/seampond/watches/tests/test_narrow_links.py
@@ -18,7 +18,7 @@
     StoreClock,
     TableFreshness,
     Watch,
-    keep_current,
+    probe_when_stale,
 )
 
 _PROOF_AGE_MS = 1500
@@ -61,7 +61,7 @@
     def __post_init__(self) -> None:
         """Wire the watch."""
         clock = self.table.clock
-        self.currency = TableFreshness(
+        self.freshness = TableFreshness(
             clock, StoreClock(), lambda proved_ms: None
         )
         self.watch = Watch(
@@ -71,13 +71,13 @@
             _WAIT_MS,
             clock,
             lambda step: None,
-            self.currency,
+            self.freshness,
             is_follower=lambda: self.number < _FOLLOWERS,
         )
 
     def take(self, page: Page) -> None:
         """Hold what an answer tells."""
-        if page.is_whole:
+        if page.is_snapshot:
             self.held.clear()
         self.held |= {row.key: row.version for row in page.rows}
 
@@ -131,7 +131,7 @@
         async with run_tasks(
             *(process.watch.run() for process in self.processes),
             *(
-                keep_current(process.watch, _PROOF_AGE_MS, _first, clock)
+                probe_when_stale(process.watch, _PROOF_AGE_MS, _first, clock)
                 for process in self.processes
             ),
             self._tell(),
@@ -165,14 +165,14 @@
         while True:
             await self.table.clock.sleep(_BEAT_MS)
             for process in self.processes:
-                proof = process.currency.proof
+                proof = process.freshness.proof
                 if proof is not None:
                     self._pass_on(process, proof)
 
     def _pass_on(self, process: Process, proof: FreshnessProof) -> None:
         for other in self.processes:
             if other is not process and self.rng.randrange(_ONE_LOST_OF):
-                other.currency.take_proof(proof)
+                other.freshness.apply_proof(proof)
 
     async def _cut(self, cut: Cut) -> None:
         clock = self.table.clock
--- a/seampond/watches/tests/test_watch.py
+++ b/seampond/watches/tests/test_watch.py
@@ -14,13 +14,13 @@
     StoreClock,
     TableFreshness,
     Watch,
-    keep_current,
+    probe_when_stale,
 )
 
 
-def _page(version: int, *keys: str, is_whole: bool = False) -> Page:
+def _page(version: int, *keys: str, is_snapshot: bool = False) -> Page:
     rows = tuple(Row(key, b'', version) for key in keys)
-    return Page(rows, version, 0, 0, 0, is_whole)
+    return Page(rows, version, 0, 0, 0, is_snapshot)
 
 
 def _never() -> bool:
@@ -74,20 +74,20 @@
 ) -> Watch:
     """Give a watch that takes everything."""
     content: dict[str, Any] = {
-        'take': lambda page: None,
+        'apply': lambda page: None,
         'wait_ms': 1000,
         'clock': Clock(),
         'count_failure': lambda step: None,
-        'currency': build_currency(),
+        'freshness': build_currency(),
     }
     probes = probe_source or ListedSource()
     return Watch(source, probes, **(content | changes))
 
 
-def hold(currency: TableFreshness, page: Page) -> None:
+def hold(freshness: TableFreshness, page: Page) -> None:
     """Let a belief be as current as an answer says."""
-    currency.check(page)
-    currency.take(page)
+    freshness.check(page)
+    freshness.apply_page(page)
 
 
 class NotedClock(Clock):
@@ -134,9 +134,9 @@
         super().__init__(*words)
         self.pauses: list[int] = []
 
-    async def wait_missing(self, most_ms: int) -> None:
+    async def wait_until_behind(self, timeout_ms: int) -> None:
         """Note the wait."""
-        self.pauses.append(most_ms)
+        self.pauses.append(timeout_ms)
         await asyncio.sleep(0)
 
 
@@ -146,22 +146,22 @@
     async def test_reads_once_then_follows(self) -> None:
         """One whole read; changes from there."""
         calls, taken, _ = await self._follow(
-            _page(3, 'a', is_whole=True), _page(5, 'b')
+            _page(3, 'a', is_snapshot=True), _page(5, 'b')
         )
         self.assertEqual(calls, ['all', 'since 3', 'since 5'])
         self.assertEqual(taken, [3, 5])
 
     async def test_first_changes_are_asked_for_at_once(self) -> None:
         """Only a feed proves what is newest; a start cannot wait for it."""
-        await self._follow(_page(3, is_whole=True), _page(3), _page(5))
+        await self._follow(_page(3, is_snapshot=True), _page(3), _page(5))
         self.assertEqual(self.waits, [0, 1000, 1000])
 
     async def test_changes_are_gathered(self) -> None:
         """After a change the next ones are asked for a little later."""
-        whole = _page(3, 'a', is_whole=True)
+        whole = _page(3, 'a', is_snapshot=True)
         source = ListedSource(whole, _page(3), _page(5, 'b'), _page(7, 'c'))
         clock = NotedClock()
-        watch = build_watch(source, clock=clock, pace_ms=250)
+        watch = build_watch(source, clock=clock, batch_pause_ms=250)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
@@ -171,7 +171,7 @@
     async def test_first_call_after_a_failure_does_not_wait(self) -> None:
         """Its answer proves at once what was in doubt."""
         await self._follow(
-            _page(3, is_whole=True),
+            _page(3, is_snapshot=True),
             _page(3),
             PlatformError('is down', step='read'),
             _page(4),
@@ -180,7 +180,7 @@
 
     async def test_who_need_not_follow_asks_nothing(self) -> None:
         """After the read that starts it; others pass changes on."""
-        source = ListedSource(_page(3, is_whole=True), _page(3))
+        source = ListedSource(_page(3, is_snapshot=True), _page(3))
         clock = HeldClock()
         watch = build_watch(source, clock=clock, is_follower=_never)
         task = asyncio.create_task(watch.run())
@@ -192,44 +192,46 @@
     async def test_what_is_passed_on_is_taken_without_a_gap(self) -> None:
         """From what we hold or before; else we have to ask."""
         taken: list[int] = []
-        source = ListedSource(_page(3, is_whole=True), _page(3))
+        source = ListedSource(_page(3, is_snapshot=True), _page(3))
         watch = build_watch(
-            source, take=lambda page: taken.append(page.version)
+            source, apply=lambda page: taken.append(page.version)
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
             await source.is_over.wait()
-        watch.take_told(4, _page(6, 'x'))
+        watch.apply_relayed(4, _page(6, 'x'))
         self.assertEqual(taken, [3, 3])
-        watch.take_told(2, _page(5, 'a'))
-        watch.take_told(3, _page(4, 'old'))
-        watch.take_told(5, _page(7, 'b'))
+        watch.apply_relayed(2, _page(5, 'a'))
+        watch.apply_relayed(3, _page(4, 'old'))
+        watch.apply_relayed(5, _page(7, 'b'))
         self.assertEqual(taken, [3, 3, 5, 7])
-        self.assertEqual(watch.currency.version, 7)
+        self.assertEqual(watch.freshness.version, 7)
 
     async def test_only_news_is_passed_on(self) -> None:
         """What others have told us of already need not be told again."""
         told: list[tuple[int, int]] = []
-        source = ListedSource(_page(3, is_whole=True), _page(3), _page(5, 'a'))
+        source = ListedSource(
+            _page(3, is_snapshot=True), _page(3), _page(5, 'a')
+        )
         probe_source = ListedSource(_page(8, 'b'))
         watch = build_watch(
             source,
             probe_source,
-            pass_on=lambda since, page: told.append((since, page.version)),
+            relay=lambda since, page: told.append((since, page.version)),
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
             await source.is_over.wait()
         self.assertEqual(told, [(3, 3), (3, 5)])
-        watch.currency.take_proof(FreshnessProof(8, 1))
+        watch.freshness.apply_proof(FreshnessProof(8, 1))
         self.assertTrue(await watch.probe())
         self.assertEqual(told, [(3, 3), (3, 5)])
 
     async def test_who_does_not_follow_asks_on_after_a_failure(self) -> None:
         """A probe that fails opens the feed again, at its pauses."""
-        whole, still = _page(3, is_whole=True), _page(3)
+        whole, still = _page(3, is_snapshot=True), _page(3)
         source = ListedSource(whole, still, _page(4))
         probe_source = ListedSource(PlatformError('is down', step='read'))
         clock = NotedClock()
@@ -242,7 +244,7 @@
             while len(source.calls) < 2:
                 await asyncio.sleep(0)
             self.assertFalse(await watch.probe())
-            while watch.currency.version < 4:
+            while watch.freshness.version < 4:
                 await asyncio.sleep(0)
         self.assertFalse(watch.is_failing)
 
@@ -261,7 +263,7 @@
         """A compacted history costs one whole read."""
         gone = HistoryGoneError('gone', step='read')
         calls, taken, _ = await self._follow(
-            _page(3, is_whole=True), gone, _page(9, is_whole=True)
+            _page(3, is_snapshot=True), gone, _page(9, is_snapshot=True)
         )
         self.assertEqual(calls, ['all', 'since 3', 'all', 'since 9'])
         self.assertEqual(taken, [3, 9])
@@ -270,10 +272,10 @@
         """What is older than what we know is asked for again."""
         gone = HistoryGoneError('gone', step='read')
         calls, taken, _ = await self._follow(
-            _page(7, is_whole=True),
+            _page(7, is_snapshot=True),
             gone,
-            _page(4, is_whole=True),
-            _page(8, is_whole=True),
+            _page(4, is_snapshot=True),
+            _page(8, is_snapshot=True),
         )
         self.assertEqual(calls, ['all', 'since 7', 'all', 'all', 'since 8'])
         self.assertEqual(taken, [7, 8])
@@ -281,7 +283,7 @@
     async def test_answer_that_cannot_be_taken_ends_nothing(self) -> None:
         """A fault in taking one answer is told; the table is read again."""
         source = ListedSource(
-            _page(3, is_whole=True), _page(4), _page(5, is_whole=True)
+            _page(3, is_snapshot=True), _page(4), _page(5, is_snapshot=True)
         )
         taken: list[int] = []
 
@@ -290,7 +292,7 @@
                 raise KeyError('address')
             taken.append(page.version)
 
-        watch = build_watch(source, take=take)
+        watch = build_watch(source, apply=take)
         with self.assertLogs('seampond.watches.watch', 'ERROR'):
             task = asyncio.create_task(watch.run())
             async with asyncio.timeout(5):
@@ -302,7 +304,7 @@
     async def test_failure_is_counted_and_tried_again(self) -> None:
         """A store that is down changes no belief."""
         calls, taken, failures = await self._follow(
-            _page(3, is_whole=True),
+            _page(3, is_snapshot=True),
             PlatformError('is down', step='read'),
             _page(4),
         )
@@ -316,7 +318,7 @@
         down = PlatformError('is down', step='read')
         with self.assertLogs('seampond.watches.watch', 'WARNING') as logs:
             await self._follow(
-                _page(3, is_whole=True), down, down, cut, cut, _page(4)
+                _page(3, is_snapshot=True), down, down, cut, cut, _page(4)
             )
         told = [
             (line.getMessage(), line.__dict__.get('received'))
@@ -331,7 +333,10 @@
         """All changes were too much for the call: the table is read whole."""
         cut = CutAnswerError('TimeoutError', step='read', peer='', received=7)
         calls, taken, _ = await self._follow(
-            _page(3, is_whole=True), cut, _page(9, is_whole=True), _page(9)
+            _page(3, is_snapshot=True),
+            cut,
+            _page(9, is_snapshot=True),
+            _page(9),
         )
         self.assertEqual(calls, ['all', 'since 3', 'all', 'since 9', 'since 9'])
         self.assertEqual(taken, [3, 9, 9])
@@ -340,7 +345,10 @@
         """The feed may come to its end meanwhile."""
         cut = CutAnswerError('TimeoutError', step='read', peer='', received=7)
         calls, taken, _ = await self._follow(
-            _page(7, is_whole=True), cut, _page(4, is_whole=True), _page(9)
+            _page(7, is_snapshot=True),
+            cut,
+            _page(4, is_snapshot=True),
+            _page(9),
         )
         self.assertEqual(calls, ['all', 'since 7', 'all', 'since 7', 'since 9'])
         self.assertEqual(taken, [7, 9])
@@ -359,24 +367,24 @@
     async def test_answer_to_an_earlier_call_is_refused(self) -> None:
         """An answer that is older than its call proves nothing."""
         time = StoreClock()
-        time.take(Page((), 1, 50_000, 1000, 1002, False))
+        time.update(Page((), 1, 50_000, 1000, 1002, False))
         with self.assertRaises(PlatformError):
-            time.take(Page((), 1, 51_000, 9000, 9002, False))
+            time.update(Page((), 1, 51_000, 9000, 9002, False))
 
     async def _ask_after_a_spell(self, rows: int, spell_ms: int = 3000) -> str:
         """Hear of a change, reach the store later; give the last call."""
         keys = [str(number) for number in range(rows)]
         down = PlatformError('is down', step='read')
-        source = ListedSource(_page(3, *keys, is_whole=True), _page(3), down)
+        source = ListedSource(_page(3, *keys, is_snapshot=True), _page(3), down)
         clock = SkippingClock()
-        currency = build_currency(clock)
-        watch = build_watch(source, clock=clock, currency=currency)
+        freshness = build_currency(clock)
+        watch = build_watch(source, clock=clock, freshness=freshness)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
             while len(source.calls) < 3:
                 await asyncio.sleep(0)
-            currency.take_proof(FreshnessProof(9, 1))
+            freshness.apply_proof(FreshnessProof(9, 1))
             clock.advance(spell_ms)
             await source.is_over.wait()
         return source.calls[3]
@@ -384,23 +392,27 @@
     async def _fail(self, proved_ms: int, **changes: Any) -> list[float]:
         """Let many calls fail; give the pauses after them."""
         failures = [PlatformError('is down', step='read') for _ in range(9)]
-        source = ListedSource(_page(3, is_whole=True), _page(3), *failures)
+        source = ListedSource(_page(3, is_snapshot=True), _page(3), *failures)
         clock = NotedClock()
         clock.__dict__['now'] = lambda: 10_000
-        currency = RecordingFreshness(
+        freshness = RecordingFreshness(
             clock, StoreClock(), lambda proved_ms: None
         )
         watch = build_watch(
-            source, clock=clock, currency=currency, pause_ms=200, **changes
+            source,
+            clock=clock,
+            freshness=freshness,
+            max_retry_pause_ms=200,
+            **changes,
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
             while len(source.calls) < 3:
                 await asyncio.sleep(0)
-            currency.proved_ms = proved_ms
+            freshness.proved_ms = proved_ms
             await source.is_over.wait()
-        return [*clock.__dict__['sleeps'], *currency.pauses]
+        return [*clock.__dict__['sleeps'], *freshness.pauses]
 
     async def _follow(
         self, *answers: Page | Exception
@@ -411,7 +423,7 @@
         failures: list[str] = []
         watch = build_watch(
             source,
-            take=lambda page: taken.append(page.version),
+            apply=lambda page: taken.append(page.version),
             count_failure=failures.append,
         )
         task = asyncio.create_task(watch.run())
@@ -427,7 +439,7 @@
 
     async def asyncSetUp(self) -> None:
         """Follow a table whose feed answers nothing more."""
-        self.feed = ListedSource(_page(3, is_whole=True), _page(3))
+        self.feed = ListedSource(_page(3, is_snapshot=True), _page(3))
         self.taken: list[int] = []
 
     async def test_change_is_found_beside_a_dead_feed(self) -> None:
@@ -458,12 +470,12 @@
         )
         for failure in failures:
             with self.subTest(type(failure).__name__):
-                self.feed = ListedSource(_page(3, is_whole=True), _page(3))
-                watch = await self._start(failure, _page(9, is_whole=True))
+                self.feed = ListedSource(_page(3, is_snapshot=True), _page(3))
+                watch = await self._start(failure, _page(9, is_snapshot=True))
                 self.assertFalse(await watch.probe())
                 self.assertTrue(await watch.probe())
                 self.assertEqual(self.probes.calls, ['since 3', 'all'])
-                self.assertEqual(watch.currency.version, 9)
+                self.assertEqual(watch.freshness.version, 9)
 
     async def test_large_change_is_probed_for_by_a_whole_read(self) -> None:
         """Others told of it without its rows: a feed may tell it many times.
@@ -473,16 +485,18 @@
         for rows, call in ((1, 'all'), (5, 'since 3')):
             with self.subTest(rows=rows):
                 keys = map(str, range(rows))
-                self.feed = ListedSource(_page(3, *keys, is_whole=True))
-                watch = await self._start(_page(9, is_whole=True))
-                watch.currency.take_proof(FreshnessProof(changed=8, store_ms=0))
+                self.feed = ListedSource(_page(3, *keys, is_snapshot=True))
+                watch = await self._start(_page(9, is_snapshot=True))
+                watch.freshness.apply_proof(
+                    FreshnessProof(latest_change=8, store_ms=0)
+                )
                 self.assertTrue(await watch.probe())
                 self.assertEqual(self.probes.calls, [call])
 
     async def test_no_probe_while_the_feed_asks_again(self) -> None:
         """A store that refuses calls is asked by the feed alone."""
         refused = PlatformError('busy', step='read')
-        feed = ListedSource(_page(3, is_whole=True), refused)
+        feed = ListedSource(_page(3, is_snapshot=True), refused)
         probes = ListedSource(_page(4))
         clock = HeldClock()
         watch = build_watch(feed, probes, clock=clock)
@@ -502,7 +516,7 @@
         """Long before a proof is too old."""
         watch = await self._start(_page(9, 'a'))
         self._keep(watch, 60_000)
-        watch.currency.take_proof(FreshnessProof(changed=8, store_ms=0))
+        watch.freshness.apply_proof(FreshnessProof(latest_change=8, store_ms=0))
         async with asyncio.timeout(5):
             while self.taken[-1] != 9:
                 await asyncio.sleep(0.01)
@@ -512,30 +526,30 @@
         clock = ManualClock(1000)
         reader, late = build_currency(clock), build_currency(clock)
         row = Row('a', b'', 6)
-        hold(late, Page((row,), 6, 1000, 1000, 1000, is_whole=False))
-        hold(reader, Page((row,), 9, 1000, 1000, 1000, is_whole=True))
-        reader.take_proof(FreshnessProof(changed=8, store_ms=1100))
+        hold(late, Page((row,), 6, 1000, 1000, 1000, is_snapshot=False))
+        hold(reader, Page((row,), 9, 1000, 1000, 1000, is_snapshot=True))
+        reader.apply_proof(FreshnessProof(latest_change=8, store_ms=1100))
         clock.advance(500)
         hold(reader, Page((), 9, 1500, 1500, 1500, False))
         assert reader.proof is not None
-        late.take_proof(reader.proof)
-        self.assertTrue(late.is_missing)
+        late.apply_proof(reader.proof)
+        self.assertTrue(late.is_behind)
 
     async def test_proof_of_others_saves_a_call(self) -> None:
         """Nothing is asked while somebody else proves that we are current."""
         clock = ManualClock(1000)
-        currency = build_currency(clock)
-        hold(currency, Page((), 5, 1000, 1000, 1000, False))
+        freshness = build_currency(clock)
+        hold(freshness, Page((), 5, 1000, 1000, 1000, False))
         clock.advance(1400)
-        currency.take_proof(FreshnessProof(changed=5, store_ms=2300))
-        self.assertEqual(currency.due_ms(1500, 400), 2300 + 1500)
+        freshness.apply_proof(FreshnessProof(latest_change=5, store_ms=2300))
+        self.assertEqual(freshness.next_probe_ms(1500, 400), 2300 + 1500)
 
     async def _start(self, *probed: Page | Exception) -> Watch:
         self.probes = ListedSource(*probed)
         watch = build_watch(
             self.feed,
             self.probes,
-            take=lambda page: self.taken.append(page.version),
+            apply=lambda page: self.taken.append(page.version),
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
@@ -543,9 +557,9 @@
             await self.feed.is_over.wait()
         return watch
 
-    def _keep(self, watch: Watch, age_ms: int) -> None:
+    def _keep(self, watch: Watch, max_age_ms: int) -> None:
         task = asyncio.create_task(
-            keep_current(watch, age_ms, int, watch.clock)
+            probe_when_stale(watch, max_age_ms, int, watch.clock)
         )
         self.addCleanup(task.cancel)
 
@@ -556,28 +570,34 @@
     def setUp(self) -> None:
         """Hold a table up to version 5, proved at 1000."""
         self.clock = ManualClock(1000)
-        self.currency = build_currency(self.clock)
-        hold(self.currency, Page((), 5, 1000, 1000, 1000, False))
+        self.freshness = build_currency(self.clock)
+        hold(self.freshness, Page((), 5, 1000, 1000, 1000, False))
 
     def test_proof_of_a_change_that_we_lack_is_none(self) -> None:
         """Somebody has seen more: we may be wrong since then."""
-        self.currency.take_proof(FreshnessProof(changed=6, store_ms=1900))
-        self.assertEqual(self.currency.proved_ms, 1000)
-        self.assertEqual(self.currency.due_ms(60_000, 400), 1000 + 400)
+        self.freshness.apply_proof(
+            FreshnessProof(latest_change=6, store_ms=1900)
+        )
+        self.assertEqual(self.freshness.proved_ms, 1000)
+        self.assertEqual(self.freshness.next_probe_ms(60_000, 400), 1000 + 400)
 
     def test_change_that_has_come_is_missing_no_more(self) -> None:
         """Our own feed was only a little late."""
-        self.currency.take_proof(FreshnessProof(changed=6, store_ms=1900))
+        self.freshness.apply_proof(
+            FreshnessProof(latest_change=6, store_ms=1900)
+        )
         self.clock.advance(1000)
         row = Row('a', b'', 6)
-        hold(self.currency, Page((row,), 6, 2000, 2000, 2000, False))
-        self.assertEqual(self.currency.due_ms(60_000, 400), 2000 + 60_000)
-        self.assertEqual(self.currency.proof, FreshnessProof(6, 2000))
+        hold(self.freshness, Page((row,), 6, 2000, 2000, 2000, False))
+        self.assertEqual(
+            self.freshness.next_probe_ms(60_000, 400), 2000 + 60_000
+        )
+        self.assertEqual(self.freshness.proof, FreshnessProof(6, 2000))
 
     def test_whole_read_proves_nothing(self) -> None:
         """It may be some seconds behind."""
-        hold(self.currency, Page((), 9, 1900, 1900, 1900, True))
-        self.assertEqual(self.currency.proved_ms, 1000)
+        hold(self.freshness, Page((), 9, 1900, 1900, 1900, True))
+        self.assertEqual(self.freshness.proved_ms, 1000)
 
     def test_early_proof_counts_once_its_change_has_come(self) -> None:
         """What is written again and again is never held as it was told.
@@ -585,28 +605,38 @@
         Each proof named a later version than the one that had just come, so
         nothing proved what was held while large versions kept coming.
         """
-        self.currency.take_proof(FreshnessProof(changed=6, store_ms=1500))
-        self.currency.take_proof(FreshnessProof(changed=7, store_ms=1900))
+        self.freshness.apply_proof(
+            FreshnessProof(latest_change=6, store_ms=1500)
+        )
+        self.freshness.apply_proof(
+            FreshnessProof(latest_change=7, store_ms=1900)
+        )
         row = Row('a', b'', 6)
-        whole = Page((row,), 6, 2000, 2000, 2000, is_whole=True)
+        whole = Page((row,), 6, 2000, 2000, 2000, is_snapshot=True)
         self.clock.advance(1000)
-        self.currency.check(whole)
-        self.assertTrue(self.currency.take(whole))
-        self.assertEqual(self.currency.proved_ms, 1500)
-        self.assertTrue(self.currency.is_missing)
+        self.freshness.check(whole)
+        self.assertTrue(self.freshness.apply_page(whole))
+        self.assertEqual(self.freshness.proved_ms, 1500)
+        self.assertTrue(self.freshness.is_behind)
 
     def test_whole_read_lets_others_know_of_a_change(self) -> None:
         """Who lacks it has to ask, though no later moment is proved."""
         row = Row('a', b'', 9)
-        hold(self.currency, Page((row,), 9, 1900, 1900, 1900, is_whole=True))
-        self.assertEqual(self.currency.proof, FreshnessProof(9, 1000))
+        hold(
+            self.freshness, Page((row,), 9, 1900, 1900, 1900, is_snapshot=True)
+        )
+        self.assertEqual(self.freshness.proof, FreshnessProof(9, 1000))
         other = build_currency(self.clock)
-        hold(other, Page((), 8, 1000, 1000, 1000, is_whole=False))
-        other.take_proof(FreshnessProof(9, 1000))
-        self.assertTrue(other.is_missing)
+        hold(other, Page((), 8, 1000, 1000, 1000, is_snapshot=False))
+        other.apply_proof(FreshnessProof(9, 1000))
+        self.assertTrue(other.is_behind)
 
     def test_overtaken_proof_changes_nothing(self) -> None:
         """Datagrams may overtake one another."""
-        self.currency.take_proof(FreshnessProof(changed=5, store_ms=1800))
-        self.currency.take_proof(FreshnessProof(changed=5, store_ms=1200))
-        self.assertEqual(self.currency.proved_ms, 1800)
+        self.freshness.apply_proof(
+            FreshnessProof(latest_change=5, store_ms=1800)
+        )
+        self.freshness.apply_proof(
+            FreshnessProof(latest_change=5, store_ms=1200)
+        )
+        self.assertEqual(self.freshness.proved_ms, 1800)
--- a/seampond/watches/watch.py
+++ b/seampond/watches/watch.py
@@ -10,7 +10,12 @@
 from seampond.errors import CutAnswerError, PlatformError
 from seampond.watches.failures import FailureLog
 from seampond.watches.freshness import TableFreshness
-from seampond.watches.rows import HistoryGoneError, Page, TableSource, number_of
+from seampond.watches.rows import (
+    HistoryGoneError,
+    Page,
+    TableSource,
+    revision_of,
+)
 
 _FIRST_PAUSE_MS = 100
 # How long who need not follow waits until it looks again, and how long after a
@@ -59,17 +64,17 @@
     ----------
     probe_source : TableSource
         The same table, on connections of its own.
-    take : Callable[[Page], None]
+    apply : Callable[[Page], None]
         Takes each answer in order; versions never go back.
     wait_ms : int
         How long the store holds a call while nothing changes.
     count_failure : Callable[[str], None]
         Counts a failed call by its step.
-    currency : TableFreshness
+    freshness : TableFreshness
         What is held, and since when that is proved.
-    pause_ms : int
+    max_retry_pause_ms : int
         The longest pause between two calls that fail.
-    pace_ms : int
+    batch_pause_ms : int
         How long to wait after a change before the next are asked for, so
         that many at once come in one answer.
     interval_factor : Callable[[], float]
@@ -77,9 +82,9 @@
     is_follower : Callable[[], bool]
         Whether we have to follow the table; if not, others pass its changes
         on, and we ask where something is missing or nothing was proved.
-    proves_first : bool
+    confirms_snapshot : bool
         Whether a whole read is followed by a call that proves it at once.
-    pass_on : Callable[[int, Page], None]
+    relay : Callable[[int, Page], None]
         Told what nobody else had told of: the version that was held, and the
         answer with what came after it.
 
@@ -87,19 +92,19 @@
 
     source: TableSource
     probe_source: TableSource
-    take: Callable[[Page], None]
+    apply: Callable[[Page], None]
     wait_ms: int
     clock: Clock
     count_failure: Callable[[str], None]
-    currency: TableFreshness
-    pause_ms: int = 600
-    pace_ms: int = 0
+    freshness: TableFreshness
+    max_retry_pause_ms: int = 600
+    batch_pause_ms: int = 0
     interval_factor: Callable[[], float] = _not_longer
     is_follower: Callable[[], bool] = _always
-    proves_first: bool = True
-    pass_on: Callable[[int, Page], None] = _tell_nobody
+    confirms_snapshot: bool = True
+    relay: Callable[[int, Page], None] = _tell_nobody
     is_current: bool = False
-    is_new: bool = False
+    is_unconfirmed: bool = False
     _call: asyncio.Timeout | None = None
     _is_suspect: bool = False
     _is_failing: bool = False
@@ -114,7 +119,9 @@
 
     def __post_init__(self) -> None:
         """Start with no call failed."""
-        self._failures = FailureLog(self.clock, self.count_failure, self._tell)
+        self._failures = FailureLog(
+            self.clock, self.count_failure, self._log_event
+        )
 
     @property
     def is_failing(self) -> bool:
@@ -129,13 +136,13 @@
             try:
                 is_fresh = await self._step()
                 self._is_failing = False
-                self._failures.note_answer()
+                self._failures.record_success()
             except HistoryGoneError:
-                self._tell('history gone', 'read-changes')
+                self._log_event('history gone', 'read-changes')
                 self.is_current = False
                 continue
             except PlatformError as error:
-                self._note_failure(error)
+                self._record_failure(error)
                 self._is_failing = True
                 is_fresh = False
             if is_fresh:
@@ -155,24 +162,24 @@
         """
         if self._is_failing or self._is_flooded or not self.is_current:
             return False
-        since = self.currency.version
+        since = self.freshness.version
         try:
             page = await self._read_beside()
             is_fresh = self._accept(page, since)
         except PlatformError as error:
-            self._note_failure(error)
+            self._record_failure(error)
             # The feed's own call may hang as well, and longer.
             self._is_suspect = True
             # Who does not follow asks on at the feed's growing pauses.
             self._is_failing = not self.is_follower()
             return False
-        self._failures.note_answer()
+        self._failures.record_success()
         if self._is_suspect:
             self._is_suspect = False
             self._give_call_up()
         return is_fresh
 
-    def take_told(self, since: int, page: Page) -> None:
+    def apply_relayed(self, since: int, page: Page) -> None:
         """Take an answer that another process passes on.
 
         Explanation
@@ -180,12 +187,12 @@
         Only if it begins at what we hold or before; else a change between
         may be missing, and what it proves makes us ask.
         """
-        version = self.currency.version
+        version = self.freshness.version
         if not self.is_current or not since <= version < page.version:
             return
         self.is_current = self._is_taken(page)
         if self.is_current:
-            self.currency.take(page)
+            self.freshness.apply_page(page)
 
     async def _wait_for_turn(self) -> None:
         """Wait while there is nothing that we have to ask the feed.
@@ -196,22 +203,22 @@
         to each process: of 2,347 calls of 68 processes in 37 s four in five
         told what the first few had been told already.
         """
-        if self.is_new and not self.proves_first:
+        if self.is_unconfirmed and not self.confirms_snapshot:
             await self.clock.sleep(_SETTLE_MS)
-            self.is_new = False
+            self.is_unconfirmed = False
         while not self._has_to_ask:
             await self.clock.sleep(_IDLE_MS)
 
     @property
     def _has_to_ask(self) -> bool:
-        if self.is_new or self._is_failing or not self.is_current:
+        if self.is_unconfirmed or self._is_failing or not self.is_current:
             return True
         return self._is_flooded or self.is_follower()
 
     async def _step(self) -> bool:
         """Make one call; tell whether its answer was fresh."""
         self._call = asyncio.timeout(None)
-        since = self.currency.version
+        since = self.freshness.version
         try:
             async with self._call:
                 page = await self._read(self.source, self._wait_ms)
@@ -220,14 +227,14 @@
         finally:
             self._call = None
         is_fresh = self._accept(page, since)
-        if is_fresh and page.rows and not page.is_whole:
-            await self.clock.sleep(self.pace_ms)
+        if is_fresh and page.rows and not page.is_snapshot:
+            await self.clock.sleep(self.batch_pause_ms)
         return is_fresh
 
     async def _read(self, source: TableSource, wait_ms: int) -> Page:
         if not self.is_current or self._is_far_behind:
             return await source.read_all()
-        return await source.read_changes(self.currency.version, wait_ms)
+        return await source.read_changes(self.freshness.version, wait_ms)
 
     async def _read_beside(self) -> Page:
         """Read beside the feed, without waiting.
@@ -238,7 +245,7 @@
         datagram, and so may be what has been written since; and where the
         versions of a large row come slowly, nobody may have told for long.
         """
-        is_large = self.currency.is_missing or self._is_heavy
+        is_large = self.freshness.is_behind or self._is_heavy
         if is_large and self._rows <= _VERY_FEW_ROWS:
             return await self.probe_source.read_all()
         return await self._read(self.probe_source, 0)
@@ -252,7 +259,7 @@
         A read may be behind, and after an outage nothing is proved: what
         follows is asked for at once.
         """
-        return 0 if self.is_new or self._is_failing else self.wait_ms
+        return 0 if self.is_unconfirmed or self._is_failing else self.wait_ms
 
     @property
     def _is_far_behind(self) -> bool:
@@ -265,7 +272,7 @@
         if self._needs_whole or self._is_flooded:
             return True
         is_small = self._rows <= _FEW_ROWS
-        is_long = self.currency.missing_ms > _CATCH_UP_MS
+        is_long = self.freshness.behind_ms > _CATCH_UP_MS
         return self._is_failing and is_small and is_long
 
     @property
@@ -277,7 +284,7 @@
         The first answer after an outage is passed on to all, so the more ask,
         the more seldom each has to.
         """
-        longest_ms = round(self.pause_ms * self.interval_factor())
+        longest_ms = round(self.max_retry_pause_ms * self.interval_factor())
         if self._is_proved_by_others:
             return max(longest_ms, _PROVED_PAUSE_MS)
         return min(longest_ms, _PROVED_PAUSE_MS)
@@ -285,19 +292,19 @@
     @property
     def _is_proved_by_others(self) -> bool:
         """Whether others prove that nothing is missing while our calls fail."""
-        age_ms = self.clock.now() - self.currency.proved_ms
-        return not self.currency.is_missing and age_ms < _PROVED_MS
+        age_ms = self.clock.now() - self.freshness.proved_ms
+        return not self.freshness.is_behind and age_ms < _PROVED_MS
 
     async def _pause(self, pause_ms: float) -> None:
         """Wait after a failed call; no longer, should a change be missing."""
         if self._is_proved_by_others:
-            await self.currency.wait_missing(round(pause_ms))
+            await self.freshness.wait_until_behind(round(pause_ms))
         else:
             await self.clock.sleep(min(pause_ms, self._longest_pause_ms))
 
-    def _note_failure(self, error: PlatformError) -> None:
+    def _record_failure(self, error: PlatformError) -> None:
         """Note a failed call, and whether the same one can succeed at all."""
-        self._failures.note(error)
+        self._failures.record_failure(error)
         if isinstance(error, (CutAnswerError, HistoryGoneError)):
             self._needs_whole = True
 
@@ -308,25 +315,25 @@
 
     def _accept(self, page: Page, since: int) -> bool:
         """Take an answer unless it is old; tell whether it was fresh."""
-        is_news = not page.is_whole and not self.currency.is_missing
-        self.currency.check(page)
-        if page.version < self.currency.version:
-            self._tell('stale answer', str(page.version))
+        is_news = not page.is_snapshot and not self.freshness.is_behind
+        self.freshness.check(page)
+        if page.version < self.freshness.version:
+            self._log_event('stale answer', str(page.version))
             self._needs_whole = False
             return False
-        self._note_size(page, since)
+        self._record_size(page, since)
         self.is_current = self._is_taken(page)
         if self.is_current:
-            is_proved = self.currency.take(page)
-            self.is_new = page.is_whole and not is_proved
+            is_proved = self.freshness.apply_page(page)
+            self.is_unconfirmed = page.is_snapshot and not is_proved
             if is_news:
-                self.pass_on(since, page)
+                self.relay(since, page)
         return self.is_current
 
-    def _note_size(self, page: Page, since: int) -> None:
+    def _record_size(self, page: Page, since: int) -> None:
         """Note that an answer came to its end, and how large the table is."""
         self._needs_whole = False
-        if page.is_whole:
+        if page.is_snapshot:
             self._rows = len(page.rows)
             newest = max((row.version for row in page.rows), default=0)
             is_flooded = self._is_flooded and newest > since
@@ -334,15 +341,15 @@
             keys = {row.key for row in page.rows}
             is_flooded = len(keys) < len(page.rows)
         if page.rows:
-            carried_ms = self.currency.carried_ms(page)
-            self._is_heavy = carried_ms > _HEAVY_MS
+            transfer_ms = self.freshness.transfer_ms(page)
+            self._is_heavy = transfer_ms > _HEAVY_MS
         is_small = self._rows <= _VERY_FEW_ROWS
         self._is_flooded = is_flooded and self._is_heavy and is_small
 
     def _is_taken(self, page: Page) -> bool:
         """Hand an answer on; a fault there must not end the watch."""
         try:
-            self.take(page)
+            self.apply(page)
         except Exception:
             _logger.exception(
                 'answer not taken',
@@ -351,12 +358,12 @@
             return False
         return True
 
-    def _tell(self, event: str, detail: str, **figures: int) -> None:
+    def _log_event(self, event: str, detail: str, **figures: int) -> None:
         _logger.warning(
             event,
             extra={
                 'table': self.source.name,
-                'version': number_of(self.currency.version),
+                'version': revision_of(self.freshness.version),
                 'detail': detail,
                 **figures,
             },
