--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -114,7 +114,7 @@
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
         self.quarantine.take(heartbeat.crashes, heartbeat.successes)
-        self.permit_manager.take_told(heartbeat.limit_reports)
+        self.permit_manager.apply_reports(heartbeat.limit_reports)
         # Before the proofs, which ask for what is missing.
         for told in heartbeat.pages:
             self._take_page(told)
@@ -135,13 +135,13 @@
     ) -> None:
         """Take what another gateway asks or answers on permits."""
         if isinstance(message, PermitRequest):
-            self.permit_manager.take_ask(message)
+            self.permit_manager.handle_request(message)
         else:
-            self.permit_manager.take_reply(message)
+            self.permit_manager.handle_reply(message)
 
     def make_heartbeat(self, sequence: int) -> Heartbeat:
         """Give what the other gateways are told."""
-        self.permit_manager.look_after()
+        self.permit_manager.expire()
         self.metrics.peers.set(self.peers.count)
         return Heartbeat(
             self.settings.name,
@@ -159,7 +159,7 @@
             rollouts=self.rollout_follower.rollouts.make_reports(),
             crashes=tuple(self.quarantine.suspects.tell_ends()),
             successes=self.quarantine.suspects.tell_good(),
-            limit_reports=self.permit_manager.tell(),
+            limit_reports=self.permit_manager.collect_reports(),
             issues_permits=True,
         )
 
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -158,7 +158,7 @@
         random.Random(),
         lambda outcome: metrics.permits.labels(outcome).inc(),
     )
-    backends.on_limit = permit_manager.note_heard
+    backends.on_limit = permit_manager.record_report
     scheduler = Scheduler(
         backends,
         settings.zone,
@@ -168,7 +168,7 @@
         versions,
     )
     scheduler.availability.permits = permit_manager
-    permit_manager.note_reply = scheduler.process_queues
+    permit_manager.on_reply = scheduler.process_queues
     retry_budget = RetryBudget(
         bounds.retry_ratio,
         bounds.retry_allowance,
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -12,7 +12,7 @@
 from seampond.forwarding.server_limit import Permit, ServerLimit
 from seampond.permits.issuer import PermitIssuer
 from seampond.permits.messages import LimitReport, PermitReply, PermitRequest
-from seampond.permits.owners import GatewayDirectory, Owners
+from seampond.permits.owners import GatewayDirectory, LimitOwners
 from seampond.permits.recent_reports import RecentReports, make_report
 from seampond.sharing.hashing import hash_name
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Question:
+class _PendingRequest:
     """One that an owner has not answered yet."""
 
     ask: PermitRequest
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    take_word : Callable[[int, float | None, int], ServerLimit | None]
+    apply_report : Callable[[int, float | None, int], ServerLimit | None]
         Takes what another gateway knows of a limit, by the key of the life;
         gives what holds, None for a server that is not known.
     request_heartbeat : Callable[[], None]
@@ -75,7 +75,7 @@
     ----------
     send : Callable[[str, PermitRequest | PermitReply], None]
         Sends to a gateway, by its name.
-    note_reply : Callable[[], None]
+    on_reply : Callable[[], None]
         Called when an owner has answered.
 
     """
@@ -84,7 +84,7 @@
         self,
         gateways: GatewayDirectory,
         clock: Clock,
-        take_word: Callable[[int, float | None, int], ServerLimit | None],
+        apply_report: Callable[[int, float | None, int], ServerLimit | None],
         request_heartbeat: Callable[[], None],
         rng: random.Random,
         count: Callable[[str], None] = _count_nothing,
@@ -93,19 +93,19 @@
         self.send: Callable[[str, PermitRequest | PermitReply], None] = (
             _send_nothing
         )
-        self.note_reply: Callable[[], None] = _note_nothing
+        self.on_reply: Callable[[], None] = _note_nothing
         self._gateways = gateways
         self._clock = clock
-        self._take_word = take_word
+        self._apply_report = apply_report
         self._request_heartbeat = request_heartbeat
         self._rng = rng
         self._count = count
-        self._owners = Owners(gateways)
-        self._giver = PermitIssuer(self._owners, clock)
+        self._owners = LimitOwners(gateways)
+        self._issuer = PermitIssuer(self._owners, clock)
         self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
-        self._heard = RecentReports(gateways, clock)
-        self._asked: dict[int, _Question] = {}
-        self._reserving: dict[int, asyncio.Future[int]] = {}
+        self._recent = RecentReports(gateways, clock)
+        self._pending: dict[int, _PendingRequest] = {}
+        self._reservations: dict[int, asyncio.Future[int]] = {}
 
     def may_send(self, backend: Backend, *, for_retry: bool = False) -> bool:
         """Whether a request may be sent to a server with a limit now."""
@@ -113,9 +113,9 @@
         if limit.has_permit(self._clock.now()):
             return True
         key = hash_name(backend.server.incarnation)
-        if not self._owners.is_ours(key):
+        if not self._owners.is_local(key):
             return False
-        return self._giver.has_permit(key, limit, for_retry=for_retry)
+        return self._issuer.has_permit(key, limit, for_retry=for_retry)
 
     def acquire(
         self, backend: Backend, *, for_retry: bool = False
@@ -124,21 +124,21 @@
         limit, now_ms = backend.signals.limit, self._clock.now()
         permit = limit.acquire_permit(now_ms)
         key = hash_name(backend.server.incarnation)
-        if permit is None and self._owners.is_ours(key):
+        if permit is None and self._owners.is_local(key):
             self.request(backend, 0, for_retry=for_retry)
             permit = limit.acquire_permit(now_ms)
         return permit
 
     def request(
-        self, backend: Backend, patience_ms: int, *, for_retry: bool = False
+        self, backend: Backend, max_wait_ms: int, *, for_retry: bool = False
     ) -> None:
         """Ask for a permit that holds after so long at the latest."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         key = hash_name(backend.server.incarnation)
         limit.discard_expired(now_ms)
-        if self._owners.is_ours(key):
-            wait_ms = self._giver.give(
-                key, limit, patience_ms, for_retry=for_retry
+        if self._owners.is_local(key):
+            wait_ms = self._issuer.grant(
+                key, limit, max_wait_ms, for_retry=for_retry
             )
             if wait_ms is not None:
                 self._count('own')
@@ -152,10 +152,10 @@
         limit.request_number = next(self._numbers)
         ask = replace(
             self._make_ask(key, limit, limit.request_number),
-            patience_ms=patience_ms,
+            max_wait_ms=max_wait_ms,
             for_retry=for_retry,
         )
-        self._asked[limit.request_number] = _Question(ask, limit)
+        self._pending[limit.request_number] = _PendingRequest(ask, limit)
         self._send_ask(ask)
 
     async def reserve(self, backend: Backend) -> int | None:
@@ -172,8 +172,8 @@
             backend.signals.limit,
             hash_name(backend.server.incarnation),
         )
-        if self._owners.is_ours(key):
-            wait_ms = self._giver.reserve(key, limit)
+        if self._owners.is_local(key):
+            wait_ms = self._issuer.reserve(key, limit)
         else:
             wait_ms = await self._ask_to_reserve(key, limit)
         self._count('reserved' if wait_ms else 'not-reserved')
@@ -185,9 +185,9 @@
         """Give the time before which there is no other permit for us."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         key = hash_name(backend.server.incarnation)
-        if self._owners.is_ours(key):
-            return self._giver.available_ms(key, limit, for_retry=for_retry)
-        self._look_after(limit, now_ms)
+        if self._owners.is_local(key):
+            return self._issuer.available_ms(key, limit, for_retry=for_retry)
+        self._check_pending(limit, now_ms)
         return limit.retry_available_ms if for_retry else limit.available_ms
 
     def probe_limit(self, backend: Backend) -> None:
@@ -199,7 +199,7 @@
         many gateways, its permits would cost more words than they are worth.
         """
         limit, now_ms = backend.signals.limit, self._clock.now()
-        self._look_after(limit, now_ms)
+        self._check_pending(limit, now_ms)
         is_due = limit.is_stale(now_ms) and now_ms >= limit.next_probe_ms
         if not is_due or limit.requested_ms is not None:
             return
@@ -212,81 +212,81 @@
             return
         self.request(backend, 0)
 
-    def take_ask(self, ask: PermitRequest) -> None:
+    def handle_request(self, ask: PermitRequest) -> None:
         """Answer a gateway that asks for a permit."""
         now_ms = self._clock.now()
-        limit = self._take_word(
-            ask.life, ask.word.rate, now_ms - ask.word.said_ago_ms
+        limit = self._apply_report(
+            ask.life, ask.report.rate, now_ms - ask.report.age_ms
         )
-        rate = ask.word.rate if limit is None else limit.rate
-        word = ask.word if limit is None else make_report(limit, now_ms)
+        rate = ask.report.rate if limit is None else limit.rate
+        report = ask.report if limit is None else make_report(limit, now_ms)
         reply = PermitReply(
             self._gateways.name,
             ask.life,
             ask.number,
-            word,
-            is_given=False,
+            report,
+            is_granted=False,
             wait_ms=0 if rate is None else _ASK_AGAIN_MS,
         )
-        if rate is not None and self._owners.is_ours(ask.life):
-            reply = self._giver.answer(ask, reply, rate)
+        if rate is not None and self._owners.is_local(ask.life):
+            reply = self._issuer.answer(ask, reply, rate)
         self.send(ask.name, reply)
 
-    def take_reply(self, reply: PermitReply) -> None:
+    def handle_reply(self, reply: PermitReply) -> None:
         """Take an owner's answer."""
-        reserving = self._reserving.pop(reply.number, None)
-        question = self._asked.pop(reply.number, None)
+        reserving = self._reservations.pop(reply.number, None)
+        question = self._pending.pop(reply.number, None)
         if reserving is None and question is None:
             return
-        self._take_word(
+        self._apply_report(
             reply.life,
-            reply.word.rate,
-            self._clock.now() - reply.word.said_ago_ms,
+            reply.report.rate,
+            self._clock.now() - reply.report.age_ms,
         )
         if reserving is not None and not reserving.done():
-            reserving.set_result(reply.return_ms)
+            reserving.set_result(reply.retry_after_ms)
         if question is not None:
             self._take_answer(question.limit, reply)
-            self.note_reply()
+            self.on_reply()
 
-    def note_heard(
+    def record_report(
         self, key: int, limit: ServerLimit, *, is_other: bool
     ) -> None:
         """Note that an answer to us has spoken of a limit."""
-        self._heard.note(key, limit, is_other=is_other)
-        self._begin(key, limit)
+        self._recent.note(key, limit, is_other=is_other)
+        self._open_bucket(key, limit)
         if is_other:
             self._request_heartbeat()
 
-    def tell(self) -> Mapping[int, LimitReport]:
+    def collect_reports(self) -> Mapping[int, LimitReport]:
         """Give what answers to us have said of late, by key of the life."""
-        return self._heard.tell()
+        return self._recent.collect_reports()
 
-    def take_told(self, words: Mapping[int, LimitReport]) -> None:
+    def apply_reports(self, reports: Mapping[int, LimitReport]) -> None:
         """Take what another gateway has heard."""
         now_ms = self._clock.now()
-        for key, word in words.items():
-            limit = self._take_word(key, word.rate, now_ms - word.said_ago_ms)
+        for key, report in reports.items():
+            limit = self._apply_report(key, report.rate, now_ms - report.age_ms)
             if limit is not None:
-                self._begin(key, limit)
+                self._open_bucket(key, limit)
 
-    def look_after(self) -> None:
+    def expire(self) -> None:
         """Forget what others own now, and asks that nobody has answered."""
-        self._giver.tidy()
+        self._issuer.expire()
         now_ms = self._clock.now()
-        for question in list(self._asked.values()):
-            self._look_after(question.limit, now_ms)
+        for question in list(self._pending.values()):
+            self._check_pending(question.limit, now_ms)
 
-    def _begin(self, key: int, limit: ServerLimit) -> None:
-        if limit.is_set and self._owners.is_ours(key):
-            self._giver.begin(key, limit)
+    def _open_bucket(self, key: int, limit: ServerLimit) -> None:
+        if limit.is_set and self._owners.is_local(key):
+            self._issuer.open_bucket(key, limit)
 
     def _make_ask(
         self, key: int, limit: ServerLimit, number: int
     ) -> PermitRequest:
-        word = make_report(limit, self._clock.now())
+        report = make_report(limit, self._clock.now())
         return PermitRequest(
-            self._gateways.name, key, number, word, patience_ms=0
+            self._gateways.name, key, number, report, max_wait_ms=0
         )
 
     def _send_ask(self, ask: PermitRequest) -> None:
@@ -298,8 +298,8 @@
         reserving: asyncio.Future[int] = (
             asyncio.get_running_loop().create_future()
         )
-        self._reserving[number] = reserving
-        ask = replace(self._make_ask(key, limit, number), reserves=True)
+        self._reservations[number] = reserving
+        ask = replace(self._make_ask(key, limit, number), is_reservation=True)
         try:
             async with asyncio.timeout(_RESERVE_MS / MS_PER_SECOND):
                 self._send_ask(ask)
@@ -307,34 +307,34 @@
         except TimeoutError:
             return 0
         finally:
-            self._reserving.pop(number, None)
+            self._reservations.pop(number, None)
 
     def _take_answer(self, limit: ServerLimit, reply: PermitReply) -> None:
         if limit.request_number != reply.number or limit.requested_ms is None:
             return
-        self._count('given' if reply.is_given else 'refused')
+        self._count('given' if reply.is_granted else 'refused')
         now_ms = self._clock.now()
-        if reply.is_given:
+        if reply.is_granted:
             limit.add_permit(now_ms, limit.requested_ms, reply.wait_ms)
         else:
             limit.record_refusal(now_ms + reply.wait_ms)
         limit.requested_ms = None
 
-    def _look_after(self, limit: ServerLimit, now_ms: int) -> None:
+    def _check_pending(self, limit: ServerLimit, now_ms: int) -> None:
         """Ask an owner again that has not answered, then wait no longer."""
         if limit.requested_ms is None:
             return
         if now_ms >= limit.reply_due_ms:
             self._count('lost')
-            self._asked.pop(limit.request_number, None)
+            self._pending.pop(limit.request_number, None)
             limit.requested_ms = None
             limit.record_refusal(now_ms + _ASK_AGAIN_MS)
         elif now_ms >= limit.resend_at_ms:
             limit.resend_at_ms = limit.reply_due_ms
-            ask = self._asked[limit.request_number].ask
+            ask = self._pending[limit.request_number].ask
             waited_ms = now_ms - limit.requested_ms
-            patience_ms = max(0, ask.patience_ms - waited_ms)
-            self._send_ask(replace(ask, patience_ms=patience_ms))
+            max_wait_ms = max(0, ask.max_wait_ms - waited_ms)
+            self._send_ask(replace(ask, max_wait_ms=max_wait_ms))
 
 
 def _send_nothing(name: str, message: PermitRequest | PermitReply) -> None:
--- a/seampond/permits/messages.py
+++ b/seampond/permits/messages.py
@@ -26,13 +26,13 @@
     ----------
     rate : float or None
         The requests a second that the server takes, None for no limit.
-    said_ago_ms : int
+    age_ms : int
         How long ago the request was sent whose answer said so.
 
     """
 
     rate: float | None
-    said_ago_ms: int
+    age_ms: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,11 +47,11 @@
         The key of the server's life.
     number : int
         Tells this from other asks.
-    patience_ms : int
+    max_wait_ms : int
         After how long the permit has to hold at the latest.
     for_retry : bool
         Whether it is for a caller that was told to come back now.
-    reserves : bool
+    is_reservation : bool
         Whether a time to come back is wanted, and no permit.
 
     """
@@ -59,10 +59,10 @@
     name: str
     life: int
     number: int
-    word: LimitReport
-    patience_ms: int
+    report: LimitReport
+    max_wait_ms: int
     for_retry: bool = False
-    reserves: bool = False
+    is_reservation: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
     wait_ms : int
         After how long the permit holds; where none is given, after how long
         there may be one.
-    return_ms : int
+    retry_after_ms : int
         After how long a permit is kept for a caller that comes back; 0 for
         none, which is all that an earlier build says.
 
@@ -83,10 +83,10 @@
     name: str
     life: int
     number: int
-    word: LimitReport
-    is_given: bool
+    report: LimitReport
+    is_granted: bool
     wait_ms: int
-    return_ms: int = 0
+    retry_after_ms: int = 0
 
 
 @functools.cache
@@ -94,7 +94,7 @@
     return capnp.load(str(Path(__file__).with_name(_SCHEMA_FILE)))
 
 
-def is_permit(packet: bytes) -> bool:
+def is_permit_message(packet: bytes) -> bool:
     """Whether a datagram is about permits."""
     return packet.startswith(_START)
 
@@ -113,28 +113,28 @@
         'name': message.name,
         'life': message.life,
         'number': message.number,
-        'rate': encode_rate(message.word.rate),
-        'saidAgoMs': min(message.word.said_ago_ms, _MAX_UINT32),
+        'rate': encode_rate(message.report.rate),
+        'saidAgoMs': min(message.report.age_ms, _MAX_UINT32),
     }
     if isinstance(message, PermitRequest):
         fields['ask'] = {
-            'patienceMs': message.patience_ms,
+            'patienceMs': message.max_wait_ms,
             'forReturn': message.for_retry,
-            'reserves': message.reserves,
+            'reserves': message.is_reservation,
         }
     else:
         fields['reply'] = {
-            'isGiven': message.is_given,
+            'isGiven': message.is_granted,
             'waitMs': min(message.wait_ms, _MAX_UINT32),
-            'returnMs': message.return_ms,
+            'returnMs': message.retry_after_ms,
         }
     packed: bytes = _schema().Message.new_message(**fields).to_bytes_packed()
     return _START + packed
 
 
 def _read(reader: Any) -> PermitRequest | PermitReply:
-    word = LimitReport(decode_rate(reader.rate), reader.saidAgoMs)
-    common = (reader.name, reader.life, reader.number, word)
+    report = LimitReport(decode_rate(reader.rate), reader.saidAgoMs)
+    common = (reader.name, reader.life, reader.number, report)
     if reader.which() == 'ask':
         ask = reader.ask
         return PermitRequest(
--- a/seampond/permits/owners.py
+++ b/seampond/permits/owners.py
@@ -30,7 +30,7 @@
         """How long after one heartbeat the next is due."""
 
 
-class Owners:
+class LimitOwners:
     """The owner of each life: the first by key among those that are heard.
 
     Explanation
@@ -46,7 +46,7 @@
         self._owners: dict[int, str] = {}
         self._owned_among: tuple[str, ...] = ()
 
-    def is_ours(self, key: int) -> bool:
+    def is_local(self, key: int) -> bool:
         """Whether we own the limit of a life."""
         return self.find(key) == self._gateways.name
 
--- a/seampond/permits/recent_reports.py
+++ b/seampond/permits/recent_reports.py
@@ -36,7 +36,7 @@
         since_ms = now_ms if is_other else self._limits.get(key, (limit, 0))[1]
         self._limits[key] = (limit, since_ms)
 
-    def tell(self) -> Mapping[int, LimitReport]:
+    def collect_reports(self) -> Mapping[int, LimitReport]:
         """Give the newest words, by key of the life; forget old ones."""
         now_ms = self._clock.now()
         told_ms = max(
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -51,7 +51,7 @@
             random.Random(1),
             self.counted.append,
         )
-        self.backends.on_limit = self.permit_manager.note_heard
+        self.backends.on_limit = self.permit_manager.record_report
         self.sent: list[tuple[str, PermitRequest | PermitReply]] = []
         self.permit_manager.send = lambda *sent: self.sent.append(sent)
 
@@ -79,8 +79,8 @@
 
     def say(self, rate: float | None) -> None:
         """Let the server answer a request that was sent just now."""
-        words = ServerSignals(limit=rate)
-        self.backends.apply_signals(self.backend, words, self.clock.now())
+        reports = ServerSignals(limit=rate)
+        self.backends.apply_signals(self.backend, reports, self.clock.now())
 
 
 class PermitManagerTest(unittest.TestCase):
@@ -110,7 +110,7 @@
         """Deliver what was asked, and what is answered."""
         for _, ask in self.asker.sent:
             assert isinstance(ask, PermitRequest)
-            self.owner.permit_manager.take_ask(ask)
+            self.owner.permit_manager.handle_request(ask)
         self.asker.sent.clear()
         self.answer()
 
@@ -118,7 +118,7 @@
         """Deliver what is answered."""
         for _, reply in self.owner.sent:
             assert isinstance(reply, PermitReply)
-            self.asker.permit_manager.take_reply(reply)
+            self.asker.permit_manager.handle_reply(reply)
         self.owner.sent.clear()
 
     def reserve(self) -> int | None:
@@ -136,7 +136,7 @@
 
     def answer_as_before(self, ask: PermitRequest) -> None:
         """Answer like a build that knows no reserved times."""
-        reply = PermitReply('g', ask.life, ask.number, ask.word, False, 200)
+        reply = PermitReply('g', ask.life, ask.number, ask.report, False, 200)
         self.owner.sent.append((ask.name, reply))
 
     def test_one_owns_it_and_gives_permits(self) -> None:
@@ -187,7 +187,7 @@
         self.asker.permit_manager.request(self.asker.backend, 0)
         for _, ask in self.asker.sent:
             assert isinstance(ask, PermitRequest)
-            self.owner.permit_manager.take_ask(ask)
+            self.owner.permit_manager.handle_request(ask)
         self.advance(_LOST_MS)
         available_ms = self.asker.permit_manager.available_ms(
             self.asker.backend
@@ -204,18 +204,18 @@
         self.asker.permit_manager.request(self.asker.backend, _SECOND_MS)
         ask = self.asker.sent[-1][1]
         assert isinstance(ask, PermitRequest)
-        self.owner.permit_manager.take_ask(ask)
+        self.owner.permit_manager.handle_request(ask)
         lost = self.owner.sent.pop()[1]
         self.asker.sent.clear()
         self.advance(_RESEND_MS)
-        self.asker.permit_manager.look_after()
+        self.asker.permit_manager.expire()
         again = self.asker.sent[-1][1]
         assert isinstance(again, PermitRequest)
-        self.owner.permit_manager.take_ask(again)
+        self.owner.permit_manager.handle_request(again)
         reply = self.owner.sent[-1][1]
         assert isinstance(lost, PermitReply)
         assert isinstance(reply, PermitReply)
-        self.assertTrue(reply.is_given)
+        self.assertTrue(reply.is_granted)
         self.assertEqual(reply.wait_ms, lost.wait_ms - _RESEND_MS)
         self.answer()
         self.assertEqual(len(self.asker.backend.signals.limit.permits), 1)
@@ -252,10 +252,10 @@
         ask = PermitRequest(
             'g9', hash_name('i-1/7'), 1, LimitReport(_RATE, 0), _SECOND_MS
         )
-        self.asker.permit_manager.take_ask(ask)
+        self.asker.permit_manager.handle_request(ask)
         reply = self.asker.sent[-1][1]
         assert isinstance(reply, PermitReply)
-        self.assertFalse(reply.is_given)
+        self.assertFalse(reply.is_granted)
 
     def test_each_reserved_time_is_another(self) -> None:
         """Guards against callers that are told to come back together."""
@@ -282,7 +282,7 @@
 
     def test_owner_of_an_earlier_build_reserves_nothing(self) -> None:
         """Its answer tells of no time."""
-        self.owner.permit_manager.take_ask = self.answer_as_before  # type: ignore
+        self.owner.permit_manager.handle_request = self.answer_as_before  # type: ignore
         self.assertIsNone(self.reserve())
 
     def test_owner_that_does_not_answer(self) -> None:
@@ -322,7 +322,7 @@
         for name in names:
             self.owner.hear(name)
         self.clock.advance(100)
-        self.owner.permit_manager.look_after()
+        self.owner.permit_manager.expire()
         self.assertFalse(self.owner.is_owner)
         self.owner.peers.apply_rows((name, '') for name in names)
         self.clock.advance(100)
@@ -336,12 +336,15 @@
         self.asker.say(None)
         key = hash_name('i-1/7')
         self.assertEqual(
-            self.asker.permit_manager.tell(), {key: LimitReport(None, 0)}
+            self.asker.permit_manager.collect_reports(),
+            {key: LimitReport(None, 0)},
+        )
+        self.owner.permit_manager.apply_reports(
+            self.asker.permit_manager.collect_reports()
         )
-        self.owner.permit_manager.take_told(self.asker.permit_manager.tell())
         self.assertFalse(self.owner.backend.signals.limit.is_set)
         self.advance(10 * _SECOND_MS)
-        self.assertEqual(self.asker.permit_manager.tell(), {})
+        self.assertEqual(self.asker.permit_manager.collect_reports(), {})
 
 
 class MessageTest(unittest.TestCase):
@@ -350,14 +353,14 @@
     def test_round_trip(self) -> None:
         """What is decoded is what was encoded."""
         for rate in (None, 0, 0.2, 1_000_000):
-            word = LimitReport(rate, 20)
+            report = LimitReport(rate, 20)
             for message in (
-                PermitRequest('g1', 7, 3, word, 210),
+                PermitRequest('g1', 7, 3, report, 210),
                 PermitRequest(
-                    'g1', 7, 3, word, 0, for_retry=True, reserves=True
+                    'g1', 7, 3, report, 0, for_retry=True, is_reservation=True
                 ),
-                PermitReply('g2', 7, 3, word, True, 40),
-                PermitReply('g2', 7, 3, word, False, 40, return_ms=900),
+                PermitReply('g2', 7, 3, report, True, 40),
+                PermitReply('g2', 7, 3, report, False, 40, retry_after_ms=900),
             ):
                 read = decode_permit(encode_permit(message))
                 self.assertEqual(read, message)
--- a/seampond/permits/token_buckets.py
+++ b/seampond/permits/token_buckets.py
@@ -22,32 +22,35 @@
 
 
 @dataclass(slots=True)
-class _Account:
+class _Bucket:
     """What one server may still get; below zero permits are given ahead.
 
     Parameters
     ----------
-    reserved : deque[int]
+    reserved_times_ms : deque[int]
         The times at which callers were told to come back, in order.
-    next_ms : int
+    next_reservation_ms : int
         The first time that no caller has been told.
     rate : float
         The permits a second by which the times were told.
 
     """
 
-    filled_ms: int
-    level: float = 0
-    asked_ms: int = 0
-    reserved: deque[int] = field(default_factory=deque)
-    next_ms: int = 0
+    refilled_ms: int
+    tokens: float = 0
+    last_used_ms: int = 0
+    reserved_times_ms: deque[int] = field(default_factory=deque)
+    next_reservation_ms: int = 0
     rate: float = 0
 
-    def is_due(self, now_ms: int) -> bool:
+    def has_due_reservation(self, now_ms: int) -> bool:
         """Whether a caller that was told so may come back now."""
-        return bool(self.reserved) and self.reserved[0] <= now_ms + _EARLY_MS
+        return (
+            bool(self.reserved_times_ms)
+            and self.reserved_times_ms[0] <= now_ms + _EARLY_MS
+        )
 
-    def count_missing(self, now_ms: int, *, for_retry: bool) -> float:
+    def missing_tokens(self, now_ms: int, *, for_retry: bool) -> float:
         """Give how many permits have to flow in before one may be given.
 
         Explanation
@@ -55,11 +58,11 @@
         What was reserved has to be there at its time, unless the permit is
         for one of those for whom it was.
         """
-        missing = 1 - self.level
-        if for_retry and self.is_due(now_ms):
+        missing = 1 - self.tokens
+        if for_retry and self.has_due_reservation(now_ms):
             return missing
         needed = missing
-        for count, at_ms in enumerate(self.reserved, 1):
+        for count, at_ms in enumerate(self.reserved_times_ms, 1):
             flowing = max(0, at_ms - now_ms) * self.rate / MS_PER_SECOND
             if flowing >= missing + count:
                 break
@@ -81,10 +84,10 @@
     >>> from seampond.clock import ManualClock
     >>> clock = ManualClock()
     >>> ledger = TokenBuckets(clock)
-    >>> ledger.give(7, 2.0, 100), ledger.wait_ms(7, 2.0)
+    >>> ledger.grant(7, 2.0, 100), ledger.wait_ms(7, 2.0)
     (None, 500)
     >>> clock.advance(450)
-    >>> ledger.give(7, 2.0, 100), ledger.wait_ms(7, 2.0)
+    >>> ledger.grant(7, 2.0, 100), ledger.wait_ms(7, 2.0)
     (50, 550)
 
     """
@@ -92,17 +95,17 @@
     def __init__(self, clock: Clock) -> None:
         """Start without accounts."""
         self._clock = clock
-        self._accounts: dict[int, _Account] = {}
+        self._buckets: dict[int, _Bucket] = {}
 
-    def begin(self, key: int, rate: float) -> None:
+    def open_bucket(self, key: int, rate: float) -> None:
         """Let permits of a limit that we own gather before anybody asks."""
-        self._fill(key, rate).asked_ms = self._clock.now()
+        self._refill(key, rate).last_used_ms = self._clock.now()
 
     def wait_ms(self, key: int, rate: float, *, for_retry: bool = False) -> int:
         """Give how long until there is a permit that nobody has."""
-        account = self._fill(key, rate)
+        bucket = self._refill(key, rate)
         now_ms = self._clock.now()
-        missing = account.count_missing(now_ms, for_retry=for_retry)
+        missing = bucket.missing_tokens(now_ms, for_retry=for_retry)
         return max(0, -round(-missing / rate * MS_PER_SECOND))
 
     def available_ms(
@@ -116,20 +119,20 @@
         is worth asking for where permits are rare.
         """
         wait_ms = self.wait_ms(key, rate, for_retry=for_retry)
-        account = self._accounts[key]
-        if not account.reserved:
+        bucket = self._buckets[key]
+        if not bucket.reserved_times_ms:
             return wait_ms
-        missing = max(0, 1 - account.level)
+        missing = max(0, 1 - bucket.tokens)
         flows_ms = -round(-missing / rate * MS_PER_SECOND)
-        freed_ms = account.reserved[0] + _HELD_MS - self._clock.now()
+        freed_ms = bucket.reserved_times_ms[0] + _HELD_MS - self._clock.now()
         soonest_ms = max(flows_ms, freed_ms)
         return soonest_ms if wait_ms - soonest_ms > _RARE_MS else wait_ms
 
-    def give(
+    def grant(
         self,
         key: int,
         rate: float,
-        patience_ms: int,
+        max_wait_ms: int,
         *,
         for_retry: bool = False,
     ) -> int | None:
@@ -139,7 +142,7 @@
         ----------
         rate : float
             Permits a second, more than none.
-        patience_ms : int
+        max_wait_ms : int
             After how long it has to hold at the latest.
         for_retry : bool
             Whether it is for a caller that was told to come back now.
@@ -151,14 +154,14 @@
 
         """
         wait_ms = self.wait_ms(key, rate, for_retry=for_retry)
-        account = self._accounts[key]
+        bucket = self._buckets[key]
         now_ms = self._clock.now()
-        account.asked_ms = now_ms
-        if wait_ms > patience_ms:
+        bucket.last_used_ms = now_ms
+        if wait_ms > max_wait_ms:
             return None
-        account.level -= 1
-        if for_retry and account.is_due(now_ms):
-            account.reserved.popleft()
+        bucket.tokens -= 1
+        if for_retry and bucket.has_due_reservation(now_ms):
+            bucket.reserved_times_ms.popleft()
         return wait_ms
 
     def reserve(self, key: int, rate: float) -> int:
@@ -185,40 +188,45 @@
         (500, 500)
 
         """
-        account = self._fill(key, rate)
+        bucket = self._refill(key, rate)
         now_ms = self._clock.now()
-        account.asked_ms = now_ms
-        missing = 1 + len(account.reserved) - account.level
+        bucket.last_used_ms = now_ms
+        missing = 1 + len(bucket.reserved_times_ms) - bucket.tokens
         flows_ms = now_ms + max(0, -round(-missing / rate * MS_PER_SECOND))
-        at_ms = max(flows_ms, account.next_ms)
+        at_ms = max(flows_ms, bucket.next_reservation_ms)
         if at_ms >= now_ms + MAX_RETRY_AFTER_MS:
             return MAX_RETRY_AFTER_MS
-        account.next_ms = at_ms + round(MS_PER_SECOND / (rate * RETRY_SHARE))
-        account.reserved.append(at_ms)
+        bucket.next_reservation_ms = at_ms + round(
+            MS_PER_SECOND / (rate * RETRY_SHARE)
+        )
+        bucket.reserved_times_ms.append(at_ms)
         return max(1, at_ms - now_ms)
 
-    def keep_only(self, is_ours: Callable[[int], bool]) -> None:
+    def retain(self, is_local: Callable[[int], bool]) -> None:
         """Forget the accounts that others keep now, and those out of use."""
         oldest_ms = self._clock.now() - _KEPT_MS
-        self._accounts = {
-            key: account
-            for key, account in self._accounts.items()
-            if account.asked_ms >= oldest_ms and is_ours(key)
+        self._buckets = {
+            key: bucket
+            for key, bucket in self._buckets.items()
+            if bucket.last_used_ms >= oldest_ms and is_local(key)
         }
 
-    def _fill(self, key: int, rate: float) -> _Account:
+    def _refill(self, key: int, rate: float) -> _Bucket:
         now_ms = self._clock.now()
-        account = self._accounts.get(key)
-        if account is None:
-            account = _Account(now_ms, asked_ms=now_ms)
-            self._accounts[key] = account
-        flowed = (now_ms - account.filled_ms) * rate / MS_PER_SECOND
-        account.filled_ms = now_ms
+        bucket = self._buckets.get(key)
+        if bucket is None:
+            bucket = _Bucket(now_ms, last_used_ms=now_ms)
+            self._buckets[key] = bucket
+        flowed = (now_ms - bucket.refilled_ms) * rate / MS_PER_SECOND
+        bucket.refilled_ms = now_ms
         most = _BURST + rate * _BURST_S
-        account.level = min(most, account.level + flowed)
-        while account.reserved and account.reserved[0] < now_ms - _HELD_MS:
-            account.reserved.popleft()
-        if rate != account.rate:
-            account.rate = rate
-            account.next_ms = now_ms
-        return account
+        bucket.tokens = min(most, bucket.tokens + flowed)
+        while (
+            bucket.reserved_times_ms
+            and bucket.reserved_times_ms[0] < now_ms - _HELD_MS
+        ):
+            bucket.reserved_times_ms.popleft()
+        if rate != bucket.rate:
+            bucket.rate = rate
+            bucket.next_reservation_ms = now_ms
+        return bucket
--- a/seampond/sharing/heartbeats.py
+++ b/seampond/sharing/heartbeats.py
@@ -258,7 +258,7 @@
             encode_rate(word.rate) for word in heartbeat.limit_reports.values()
         ],
         limitSaidAgoMs=[
-            _fit(word.said_ago_ms) for word in heartbeat.limit_reports.values()
+            _fit(word.age_ms) for word in heartbeat.limit_reports.values()
         ],
         givesPermits=heartbeat.issues_permits,
     )
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -15,7 +15,7 @@
     PermitRequest,
     decode_permit,
     encode_permit,
-    is_permit,
+    is_permit_message,
 )
 from seampond.platform.gateways import encode_gateway, parse_gateway
 from seampond.sharing.heartbeats import Heartbeat, decode, encode
@@ -93,7 +93,7 @@
     def datagram_received(self, packet: bytes, addr: tuple[str, int]) -> None:
         """Take one heartbeat; answer one that has just started."""
         sharing = self._sharing
-        if is_permit(packet):
+        if is_permit_message(packet):
             self._take_permit(packet, addr[0])
             return
         try:
--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -136,7 +136,7 @@
             fleet.rng,
         )
         self.permit_manager.send = self._send_permit
-        self.backends.on_limit = self.permit_manager.note_heard
+        self.backends.on_limit = self.permit_manager.record_report
         permits: PermitSource = self.permit_manager
         if fleet.make_permits is not None:
             permits = fleet.make_permits(self.peers, fleet.clock, self.backends)
@@ -151,7 +151,7 @@
         self.scheduler.availability = Availability(fleet.clock, fleet.rng)
         self.scheduler.availability.permits = permits
         self.scheduler._rng = fleet.rng  # noqa: SLF001
-        self.permit_manager.note_reply = self.scheduler.process_queues
+        self.permit_manager.on_reply = self.scheduler.process_queues
         self.backends.replace_all(
             build_server(server.id, slots=_SLOTS) for server in fleet.servers
         )
@@ -176,16 +176,16 @@
     def hear(self, heartbeat: Heartbeat) -> None:
         """Take what another has told."""
         if self.is_up and self.peers.apply_heartbeat(heartbeat):
-            self.permit_manager.take_told(heartbeat.limit_reports)
+            self.permit_manager.apply_reports(heartbeat.limit_reports)
 
     def handle_permit(self, message: PermitRequest | PermitReply) -> None:
         """Take what another asks or answers."""
         if not self.is_up:
             return
         if isinstance(message, PermitRequest):
-            self.permit_manager.take_ask(message)
+            self.permit_manager.handle_request(message)
         else:
-            self.permit_manager.take_reply(message)
+            self.permit_manager.handle_reply(message)
 
     async def serve(self, request_id: str, *, is_retry: bool) -> int | None:
         """Carry a request through.
@@ -216,14 +216,14 @@
         return None
 
     def _tell_all(self) -> None:
-        self.permit_manager.look_after()
+        self.permit_manager.expire()
         self._sequence += 1
         told = Heartbeat(
             self.name,
             self.incarnation,
             self._sequence,
             is_stopping=self.is_stopping,
-            limit_reports=self.permit_manager.tell(),
+            limit_reports=self.permit_manager.collect_reports(),
             issues_permits=True,
         )
         # A set of names has another order in each process, a seed must not.
