--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -118,7 +118,7 @@
         except ExchangeError as error:
             outcome = self._fail(error)
         except asyncio.CancelledError:
-            self.quarantine.note_left(
+            self.quarantine.record_abandoned_run(
                 self.progress.job, self.backend.server, self.sent_ms
             )
             raise
@@ -195,7 +195,7 @@
             await self._relay_stream(connection, head)
         else:
             outcome = await self._relay_whole(connection, head)
-        self.quarantine.note_good(job)
+        self.quarantine.record_success(job)
         return outcome
 
     async def _relay_whole(
@@ -312,9 +312,9 @@
     def _note_lost(self, error: ExchangeError) -> None:
         job, server = self.progress.job, self.backend.server
         if error.was_sent:
-            self.quarantine.note_end(job, server, self.sent_ms)
+            self.quarantine.record_crash(job, server, self.sent_ms)
         else:
-            self.quarantine.note_over(server)
+            self.quarantine.record_server_exit(server)
 
     def _error(self, message: str) -> ExchangeError:
         return ExchangeError(
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -79,7 +79,7 @@
                 self.configuration_state.configuration is not None,
                 self.server_follower.is_loaded,
                 self.rollout_follower.rollouts.is_known,
-                self.quarantine.trials.is_known,
+                self.quarantine.trials.is_loaded,
             )
         )
         return is_known and not self.web.is_stopping
@@ -113,7 +113,7 @@
         self.rollout_follower.rollouts.take_reports(
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
-        self.quarantine.take(heartbeat.crashes, heartbeat.successes)
+        self.quarantine.apply_reports(heartbeat.crashes, heartbeat.successes)
         self.permit_manager.apply_reports(heartbeat.limit_reports)
         # Before the proofs, which ask for what is missing.
         for told in heartbeat.pages:
@@ -157,8 +157,8 @@
             is_store_unreachable=self.is_store_unreachable,
             pages=tuple(self._pages),
             rollouts=self.rollout_follower.rollouts.make_reports(),
-            crashes=tuple(self.quarantine.suspects.tell_ends()),
-            successes=self.quarantine.suspects.tell_good(),
+            crashes=tuple(self.quarantine.suspects.list_crash_reports()),
+            successes=self.quarantine.suspects.list_cleared(),
             limit_reports=self.permit_manager.collect_reports(),
             issues_permits=True,
         )
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -251,12 +251,12 @@
     """
     trials = components.quarantine.trials
     tries = 0
-    while not trials.is_known:
+    while not trials.is_loaded:
         try:
             await trials.read()
         except PlatformError as error:
             tries += components.configuration_state.configuration is not None
-            trials.is_known = tries >= _TRIALS_TRIES
+            trials.is_loaded = tries >= _TRIALS_TRIES
             _logger.warning('trials not read', extra={'reason': error.message})
             await components.clock.sleep(_TRIALS_PAUSE_MS)
 
@@ -268,7 +268,7 @@
     trials = components.quarantine.trials
     async with open_table(address, QUARANTINE_TABLE, components.clock) as table:
         trials.table = QuarantineTable(table)
-        trials.is_known = False
+        trials.is_loaded = False
         async with run_tasks(_read_trials(components)):
             yield
         trials.table = None
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -170,11 +170,11 @@
             await self.drive(
                 fleet, gateways[:1], (CRASHING_BODY, 250), for_ms=7000
             )
-        self.assertEqual(second.quarantine.suspects.tell_ends(), [])
-        self.assertTrue(first.quarantine.suspects.tell_ends())
+        self.assertEqual(second.quarantine.suspects.list_crash_reports(), [])
+        self.assertTrue(first.quarantine.suspects.list_crash_reports())
         self.assertTrue(hear)
         ends = len(fleet.ends_ms)
-        await until_true(second.quarantine.suspects.tell_ends)
+        await until_true(second.quarantine.suspects.list_crash_reports)
         await self.drive(fleet, gateways[1:], (CRASHING_BODY, 250), for_ms=1500)
         self.assertEqual(len(fleet.ends_ms), ends)
 
--- a/seampond/permits/issuer.py
+++ b/seampond/permits/issuer.py
@@ -96,7 +96,7 @@
     def _decide(
         self, ask: PermitRequest, refusal: PermitReply, rate: float
     ) -> PermitReply:
-        ledger, key = self._buckets, ask.life
+        ledger, key = self._buckets, ask.incarnation
         if ask.is_reservation:
             return replace(refusal, retry_after_ms=ledger.reserve(key, rate))
         wait_ms = ledger.grant(
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -216,19 +216,19 @@
         """Answer a gateway that asks for a permit."""
         now_ms = self._clock.now()
         limit = self._apply_report(
-            ask.life, ask.report.rate, now_ms - ask.report.age_ms
+            ask.incarnation, ask.report.rate, now_ms - ask.report.age_ms
         )
         rate = ask.report.rate if limit is None else limit.rate
         report = ask.report if limit is None else make_report(limit, now_ms)
         reply = PermitReply(
             self._gateways.name,
-            ask.life,
+            ask.incarnation,
             ask.number,
             report,
             is_granted=False,
             wait_ms=0 if rate is None else _ASK_AGAIN_MS,
         )
-        if rate is not None and self._owners.is_local(ask.life):
+        if rate is not None and self._owners.is_local(ask.incarnation):
             reply = self._issuer.answer(ask, reply, rate)
         self.send(ask.name, reply)
 
@@ -239,7 +239,7 @@
         if reserving is None and question is None:
             return
         self._apply_report(
-            reply.life,
+            reply.incarnation,
             reply.report.rate,
             self._clock.now() - reply.report.age_ms,
         )
@@ -290,7 +290,7 @@
         )
 
     def _send_ask(self, ask: PermitRequest) -> None:
-        self.send(self._owners.find(ask.life), ask)
+        self.send(self._owners.find(ask.incarnation), ask)
 
     async def _ask_to_reserve(self, key: int, limit: ServerLimit) -> int:
         """Ask the owner; give 0 where it does not answer in time."""
--- a/seampond/permits/messages.py
+++ b/seampond/permits/messages.py
@@ -43,7 +43,7 @@
     ----------
     name : str
         Who asks.
-    life : int
+    incarnation : int
         The key of the server's life.
     number : int
         Tells this from other asks.
@@ -57,7 +57,7 @@
     """
 
     name: str
-    life: int
+    incarnation: int
     number: int
     report: LimitReport
     max_wait_ms: int
@@ -81,7 +81,7 @@
     """
 
     name: str
-    life: int
+    incarnation: int
     number: int
     report: LimitReport
     is_granted: bool
@@ -111,7 +111,7 @@
     """
     fields: dict[str, Any] = {
         'name': message.name,
-        'life': message.life,
+        'life': message.incarnation,
         'number': message.number,
         'rate': encode_rate(message.report.rate),
         'saidAgoMs': min(message.report.age_ms, _MAX_UINT32),
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -136,7 +136,9 @@
 
     def answer_as_before(self, ask: PermitRequest) -> None:
         """Answer like a build that knows no reserved times."""
-        reply = PermitReply('g', ask.life, ask.number, ask.report, False, 200)
+        reply = PermitReply(
+            'g', ask.incarnation, ask.number, ask.report, False, 200
+        )
         self.owner.sent.append((ask.name, reply))
 
     def test_one_owns_it_and_gives_permits(self) -> None:
--- a/seampond/quarantine/models.py
+++ b/seampond/quarantine/models.py
@@ -9,7 +9,7 @@
 
     Parameters
     ----------
-    life : int
+    incarnation : int
         The key of the server's life.
     started_ms : int
         When the request was sent there.
@@ -18,7 +18,7 @@
 
     """
 
-    life: int
+    incarnation: int
     started_ms: int
     at_ms: int
 
@@ -31,16 +31,16 @@
     ----------
     request : int
         The fingerprint of the request.
-    is_proven : bool
+    had_success : bool
         Whether the request had got a good answer shortly before.
 
     """
 
     request: int
-    life: int
-    started_ago_ms: int
-    ended_ago_ms: int
-    is_proven: bool = False
+    incarnation: int
+    run_age_ms: int
+    crash_age_ms: int
+    had_success: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/seampond/quarantine/quarantine.py
+++ b/seampond/quarantine/quarantine.py
@@ -33,7 +33,7 @@
     """A run that we gave up, whose server may still be at work on it."""
 
     request: int
-    life: int
+    incarnation: int
     started_ms: int
     at_ms: int
 
@@ -53,7 +53,7 @@
     ----------
     hash_name : Callable[[str], int]
         Gives the key by which gateways tell of a server's life.
-    tell : Callable[[], None]
+    notify_peers : Callable[[], None]
         Called when the others should hear of new evidence at once.
     count_trial : Callable[[str], None]
         Counts a trial that was wanted, by whether leave was given.
@@ -65,7 +65,7 @@
         suspects: Suspects,
         trials: Trials,
         hash_name: Callable[[str], int],
-        tell: Callable[[], None],
+        notify_peers: Callable[[], None],
         count_trial: Callable[[str], None],
         clock: Clock,
     ) -> None:
@@ -73,19 +73,19 @@
         self.suspects = suspects
         self.trials = trials
         self._hash_name = hash_name
-        self._tell = tell
+        self._notify_peers = notify_peers
         self._count_trial = count_trial
         self._clock = clock
-        self._open: Counter[int] = Counter()
-        self._ended = asyncio.Event()
-        self._left: deque[AbandonedRun] = deque(maxlen=_LEFT_MAX)
-        self._drops: set[asyncio.Task[None]] = set()
+        self._active: Counter[int] = Counter()
+        self._copy_finished = asyncio.Event()
+        self._abandoned_runs: deque[AbandonedRun] = deque(maxlen=_LEFT_MAX)
+        self._lift_tasks: set[asyncio.Task[None]] = set()
 
     def is_quarantined(self, job: Job) -> bool:
         """Tell whether a request may be sent on trial only."""
         request = job.fingerprint
-        strikes = self.suspects.count_strikes(request)
-        return strikes >= QUARANTINE_CRASHES or self.trials.is_quarantined(
+        crash_count = self.suspects.count_crashes(request)
+        return crash_count >= QUARANTINE_CRASHES or self.trials.is_quarantined(
             request
         )
 
@@ -102,19 +102,20 @@
             If it may not be sent for now; it gets the final answer at once.
 
         """
-        if not self.trials.is_known:
+        if not self.trials.is_loaded:
             raise Refusal(
                 Cause.not_ready, step=_STEP, retry_after_ms=_NOT_READY_MS
             )
-        job.crash_count = self.suspects.count_strikes(job.fingerprint)
-        is_under_way = self._open[job.fingerprint] > 0
+        job.crash_count = self.suspects.count_crashes(job.fingerprint)
+        is_under_way = self._active[job.fingerprint] > 0
         job.is_concurrent_duplicate = (
-            is_under_way and not self.suspects.was_good(job.fingerprint)
+            is_under_way
+            and not self.suspects.had_recent_success(job.fingerprint)
         )
         if self.may_send(job):
             return
         wait_ms = self.trials.wait_ms(job.fingerprint)
-        if wait_ms != 0 or self._open[job.fingerprint]:
+        if wait_ms != 0 or self._active[job.fingerprint]:
             raise self._refuse(job)
 
     @asynccontextmanager
@@ -130,87 +131,91 @@
         request = job.fingerprint
         await self._wait_for_copies(job)
         if not self.may_send(job):
-            await self._claim(job)
+            await self._claim_trial(job)
         sends = job.attempts
-        self._open[request] += 1
+        self._active[request] += 1
         try:
             yield
         finally:
             # A trial that reached no server is not used up.
             job.is_trial = job.is_trial and job.attempts == sends
-            self._leave(request)
+            self._release(request)
 
-    def take(
-        self, ends: Iterable[CrashReport], good: Mapping[int, int]
+    def apply_reports(
+        self, crashes: Iterable[CrashReport], successes: Mapping[int, int]
     ) -> None:
         """Take what another gateway tells."""
-        self.suspects.take(ends, good)
-        self.trials.forget(good)
+        self.suspects.apply_reports(crashes, successes)
+        self.trials.forget(successes)
 
-    def note_end(self, job: Job, server: Server, started_ms: int) -> None:
+    def record_crash(self, job: Job, server: Server, started_ms: int) -> None:
         """Note that a connection broke with a request on it."""
-        self._note(
+        self._add_crash(
             job.fingerprint, self._hash_name(server.incarnation), started_ms
         )
-        self.note_over(server)
+        self.record_server_exit(server)
 
-    def note_over(self, server: Server) -> None:
+    def record_server_exit(self, server: Server) -> None:
         """Note that a server has ended: runs given up shortly before count."""
-        life = self._hash_name(server.incarnation)
+        incarnation = self._hash_name(server.incarnation)
         oldest_ms = self._clock.now() - _LEFT_MS
-        for run in list(self._left):
+        for run in list(self._abandoned_runs):
             if run.at_ms < oldest_ms:
-                self._left.remove(run)
-            elif run.life == life:
-                self._left.remove(run)
-                self._note(run.request, life, run.started_ms)
+                self._abandoned_runs.remove(run)
+            elif run.incarnation == incarnation:
+                self._abandoned_runs.remove(run)
+                self._add_crash(run.request, incarnation, run.started_ms)
 
-    def note_left(self, job: Job, server: Server, started_ms: int) -> None:
+    def record_abandoned_run(
+        self, job: Job, server: Server, started_ms: int
+    ) -> None:
         """Note that a run was given up while its server was at work."""
-        life = self._hash_name(server.incarnation)
+        incarnation = self._hash_name(server.incarnation)
         now_ms = self._clock.now()
-        self._left.append(
-            AbandonedRun(job.fingerprint, life, started_ms, now_ms)
+        self._abandoned_runs.append(
+            AbandonedRun(job.fingerprint, incarnation, started_ms, now_ms)
         )
 
-    def note_good(self, job: Job) -> None:
+    def record_success(self, job: Job) -> None:
         """Note that a server has answered a request and lives."""
-        is_cleared = self.suspects.note_good(job.fingerprint)
+        is_cleared = self.suspects.record_success(job.fingerprint)
         if not is_cleared and not self.trials.is_quarantined(job.fingerprint):
             return
-        self._tell()
+        self._notify_peers()
         if self.trials.is_quarantined(job.fingerprint):
             _logger.info(
                 'request out of quarantine',
                 extra={'fingerprint': format_fingerprint(job.fingerprint)},
             )
             drop = asyncio.create_task(self.trials.drop(job.fingerprint))
-            self._drops.add(drop)
-            drop.add_done_callback(self._drops.discard)
-
-    def _note(self, request: int, life: int, started_ms: int) -> None:
-        before = self.suspects.count_strikes(request)
-        self.suspects.note_end(request, life, started_ms)
-        strikes = self.suspects.count_strikes(request)
-        if strikes == before:
+            self._lift_tasks.add(drop)
+            drop.add_done_callback(self._lift_tasks.discard)
+
+    def _add_crash(
+        self, request: int, incarnation: int, started_ms: int
+    ) -> None:
+        before = self.suspects.count_crashes(request)
+        self.suspects.record_crash(request, incarnation, started_ms)
+        crash_count = self.suspects.count_crashes(request)
+        if crash_count == before:
             return
-        self._tell()
-        if strikes >= QUARANTINE_CRASHES:
+        self._notify_peers()
+        if crash_count >= QUARANTINE_CRASHES:
             _logger.warning(
                 'request in quarantine',
                 extra={
                     'fingerprint': format_fingerprint(request),
-                    'ends': strikes,
+                    'ends': crash_count,
                 },
             )
 
-    def _leave(self, request: int) -> None:
-        self._open[request] -= 1
-        if not self._open[request]:
-            self._open.pop(request)
+    def _release(self, request: int) -> None:
+        self._active[request] -= 1
+        if not self._active[request]:
+            self._active.pop(request)
         # Who waits for a copy looks again; who comes later waits anew.
-        self._ended.set()
-        self._ended = asyncio.Event()
+        self._copy_finished.set()
+        self._copy_finished = asyncio.Event()
 
     async def _wait_for_copies(self, job: Job) -> None:
         """Wait while a copy of a request under which a server ended is open.
@@ -223,19 +228,19 @@
         """
         request = job.fingerprint
         until_ms = self._clock.now() + _PATIENCE * job.route.target_ms
-        while self._open[request] and self._is_single(request):
+        while self._active[request] and self._allows_one_copy(request):
             left_ms = until_ms - self._clock.now()
             if left_ms <= 0:
                 raise self._refuse(job)
             with suppress(TimeoutError):
                 async with asyncio.timeout(left_ms / MS_PER_SECOND):
-                    await self._ended.wait()
+                    await self._copy_finished.wait()
 
-    def _is_single(self, request: int) -> bool:
-        strikes = self.suspects.count_strikes(request)
-        return strikes > 0 and not self.suspects.is_proven(request)
+    def _allows_one_copy(self, request: int) -> bool:
+        crash_count = self.suspects.count_crashes(request)
+        return crash_count > 0 and not self.suspects.had_success(request)
 
-    async def _claim(self, job: Job) -> None:
+    async def _claim_trial(self, job: Job) -> None:
         is_ours = await self.trials.claim(job.fingerprint)
         self._count_trial('given' if is_ours else 'refused')
         if not is_ours:
--- a/seampond/quarantine/suspects.py
+++ b/seampond/quarantine/suspects.py
@@ -36,21 +36,21 @@
 
     Parameters
     ----------
-    ends : dict[int, Crash]
+    crashes : dict[int, Crash]
         By key of the server's life.
-    own : set[int]
+    observed : set[int]
         The lives whose ends we have seen ourselves.
-    is_proven : bool
+    had_success : bool
         Whether it had got a good answer shortly before an end.
 
     """
 
-    ends: dict[int, Crash] = field(default_factory=dict)
-    own: set[int] = field(default_factory=set)
-    is_proven: bool = False
+    crashes: dict[int, Crash] = field(default_factory=dict)
+    observed: set[int] = field(default_factory=set)
+    had_success: bool = False
 
     @property
-    def strikes(self) -> int:
+    def crash_count(self) -> int:
         """How many ends count against it.
 
         Explanation
@@ -60,30 +60,32 @@
         that had good answers only an end counts whose run began after the end
         before was seen; of any other, each end.
         """
-        if not self.is_proven:
-            return len(self.ends)
+        if not self.had_success:
+            return len(self.crashes)
         counted = 0
         seen_ms = None
-        for end in sorted(self.ends.values(), key=lambda known: known.at_ms):
-            if seen_ms is None or end.started_ms > seen_ms:
+        for crash in sorted(
+            self.crashes.values(), key=lambda known: known.at_ms
+        ):
+            if seen_ms is None or crash.started_ms > seen_ms:
                 counted += 1
-                seen_ms = end.at_ms
+                seen_ms = crash.at_ms
         return counted
 
-    def drop_least(self) -> None:
+    def drop_redundant(self) -> None:
         """Drop an end without which as many strikes are left, or the first."""
-        strikes = self.strikes
-        for life, end in list(self.ends.items()):
-            self.ends.pop(life)
-            if self.strikes == strikes:
+        crash_count = self.crash_count
+        for incarnation, crash in list(self.crashes.items()):
+            self.crashes.pop(incarnation)
+            if self.crash_count == crash_count:
                 return
-            self.ends[life] = end
-        self.ends.pop(next(iter(self.ends)))
+            self.crashes[incarnation] = crash
+        self.crashes.pop(next(iter(self.crashes)))
 
     @property
     def last_ms(self) -> int:
         """When the last end was seen."""
-        return max(end.at_ms for end in self.ends.values())
+        return max(crash.at_ms for crash in self.crashes.values())
 
 
 class Suspects:
@@ -97,14 +99,14 @@
     Examples
     --------
     >>> suspects = Suspects(Clock(lambda: 0))
-    >>> suspects.note_end(7, life=1, started_ms=0)
-    >>> suspects.note_end(7, life=1, started_ms=0)
-    >>> suspects.note_end(7, life=2, started_ms=0)
-    >>> suspects.count_strikes(7)
+    >>> suspects.record_crash(7, incarnation=1, started_ms=0)
+    >>> suspects.record_crash(7, incarnation=1, started_ms=0)
+    >>> suspects.record_crash(7, incarnation=2, started_ms=0)
+    >>> suspects.count_crashes(7)
     2
-    >>> suspects.note_good(7)
+    >>> suspects.record_success(7)
     True
-    >>> suspects.count_strikes(7)
+    >>> suspects.count_crashes(7)
     0
 
     """
@@ -122,34 +124,36 @@
         """Give how many requests there is something against."""
         return len(self._suspects)
 
-    def count_strikes(self, request: int) -> int:
+    def count_crashes(self, request: int) -> int:
         """Give how many ends count against a request."""
         suspect = self._suspects.get(request)
-        return suspect.strikes if suspect else 0
+        return suspect.crash_count if suspect else 0
 
-    def is_proven(self, request: int) -> bool:
+    def had_success(self, request: int) -> bool:
         """Tell whether a request had a good answer shortly before an end."""
         suspect = self._suspects.get(request)
-        return suspect is not None and suspect.is_proven
+        return suspect is not None and suspect.had_success
 
-    def was_good(self, request: int) -> bool:
+    def had_recent_success(self, request: int) -> bool:
         """Tell whether a request had a good answer of late."""
         good_ms = self._good_ms.get(request)
         if good_ms is None:
             return False
         return self._clock.now() - good_ms <= _PROVEN_MS
 
-    def note_end(self, request: int, life: int, started_ms: int) -> None:
+    def record_crash(
+        self, request: int, incarnation: int, started_ms: int
+    ) -> None:
         """Note that a server ended under a request of ours."""
-        end = Crash(life, started_ms, self._clock.now())
-        self._add(request, end, is_proven=self.was_good(request))
+        crash = Crash(incarnation, started_ms, self._clock.now())
+        self._add(request, crash, had_success=self.had_recent_success(request))
         suspect = self._suspects.get(request)
         if suspect is not None:
-            suspect.own.add(life)
-            suspect.own.intersection_update(suspect.ends)
+            suspect.observed.add(incarnation)
+            suspect.observed.intersection_update(suspect.crashes)
         self._forget()
 
-    def note_good(self, request: int) -> bool:
+    def record_success(self, request: int) -> bool:
         """Note a good answer; tell whether it clears the request."""
         self._good_ms[request] = self._clock.now()
         self._good_ms.move_to_end(request)
@@ -160,7 +164,7 @@
         self._note_cleared(request, self._clock.now())
         return self._clear(request, self._clock.now())
 
-    def tell_ends(self) -> list[CrashReport]:
+    def list_crash_reports(self) -> list[CrashReport]:
         """Give what the others should know.
 
         Explanation
@@ -172,25 +176,28 @@
         now_ms = self._clock.now()
         by_strikes = sorted(
             self._suspects.items(),
-            key=lambda known: known[1].strikes,
+            key=lambda known: known[1].crash_count,
             reverse=True,
         )
         told = [
             CrashReport(
                 request,
-                end.life,
-                max(0, now_ms - end.started_ms),
-                max(0, now_ms - end.at_ms),
-                suspect.is_proven,
+                crash.incarnation,
+                max(0, now_ms - crash.started_ms),
+                max(0, now_ms - crash.at_ms),
+                suspect.had_success,
             )
             for request, suspect in by_strikes
-            for end in suspect.ends.values()
-            if suspect.strikes >= QUARANTINE_CRASHES
-            or (end.life in suspect.own and now_ms - end.at_ms < _TOLD_MS)
+            for crash in suspect.crashes.values()
+            if suspect.crash_count >= QUARANTINE_CRASHES
+            or (
+                crash.incarnation in suspect.observed
+                and now_ms - crash.at_ms < _TOLD_MS
+            )
         ]
         return told[:_TOLD_MAX]
 
-    def tell_good(self) -> dict[int, int]:
+    def list_cleared(self) -> dict[int, int]:
         """Give who was cleared of late, and how long ago."""
         now_ms = self._clock.now()
         latest = itertools.islice(reversed(self._cleared_ms.items()), _TOLD_MAX)
@@ -200,37 +207,37 @@
             if now_ms - at_ms < _TOLD_MS
         }
 
-    def take(
-        self, ends: Iterable[CrashReport], good: Mapping[int, int]
+    def apply_reports(
+        self, crashes: Iterable[CrashReport], successes: Mapping[int, int]
     ) -> None:
         """Take what another gateway tells."""
         now_ms = self._clock.now()
-        for told in ends:
-            end = Crash(
-                told.life,
-                now_ms - told.started_ago_ms,
-                now_ms - told.ended_ago_ms,
+        for told in crashes:
+            crash = Crash(
+                told.incarnation,
+                now_ms - told.run_age_ms,
+                now_ms - told.crash_age_ms,
             )
-            self._add(told.request, end, is_proven=told.is_proven)
-        for request, ago_ms in good.items():
+            self._add(told.request, crash, had_success=told.had_success)
+        for request, ago_ms in successes.items():
             self._note_cleared(request, now_ms - ago_ms)
             self._clear(request, now_ms - ago_ms)
         self._forget()
 
-    def _add(self, request: int, end: Crash, *, is_proven: bool) -> None:
+    def _add(self, request: int, crash: Crash, *, had_success: bool) -> None:
         good_ms = max(
-            self._good_ms.get(request, end.at_ms - 1),
-            self._cleared_ms.get(request, end.at_ms - 1),
+            self._good_ms.get(request, crash.at_ms - 1),
+            self._cleared_ms.get(request, crash.at_ms - 1),
         )
-        if good_ms >= end.at_ms:
+        if good_ms >= crash.at_ms:
             return
         suspect = self._suspects.setdefault(request, Suspect())
-        suspect.is_proven = suspect.is_proven or is_proven
-        known = suspect.ends.get(end.life)
-        if known is None or end.at_ms < known.at_ms:
-            suspect.ends[end.life] = end
-        if len(suspect.ends) > _ENDS_KEPT:
-            suspect.drop_least()
+        suspect.had_success = suspect.had_success or had_success
+        known = suspect.crashes.get(crash.incarnation)
+        if known is None or crash.at_ms < known.at_ms:
+            suspect.crashes[crash.incarnation] = crash
+        if len(suspect.crashes) > _ENDS_KEPT:
+            suspect.drop_redundant()
 
     def _note_cleared(self, request: int, good_ms: int) -> None:
         """Remember a good answer: word of an end before it may come late."""
@@ -244,12 +251,12 @@
         suspect = self._suspects.get(request)
         if suspect is None:
             return False
-        suspect.ends = {
-            life: end
-            for life, end in suspect.ends.items()
-            if end.at_ms > good_ms
+        suspect.crashes = {
+            incarnation: crash
+            for incarnation, crash in suspect.crashes.items()
+            if crash.at_ms > good_ms
         }
-        if suspect.ends:
+        if suspect.crashes:
             return False
         self._suspects.pop(request)
         return True
@@ -261,7 +268,7 @@
             return
         self._forget_ms = now_ms + _LOOK_MS
         for request, suspect in list(self._suspects.items()):
-            is_held = suspect.strikes >= QUARANTINE_CRASHES
+            is_held = suspect.crash_count >= QUARANTINE_CRASHES
             kept_ms = _FORGET_QUARANTINED_MS if is_held else _FORGET_MS
             if now_ms - suspect.last_ms > kept_ms:
                 self._suspects.pop(request)
@@ -269,7 +276,7 @@
         if over > 0:
             by_weight = sorted(
                 self._suspects,
-                key=lambda known: self._suspects[known].strikes,
+                key=lambda known: self._suspects[known].crash_count,
             )
             for request in by_weight[:over]:
                 self._suspects.pop(request)
--- a/seampond/quarantine/trials.py
+++ b/seampond/quarantine/trials.py
@@ -57,7 +57,7 @@
     ----------
     table : TrialTable or None
         The store's table, None while there is none: no leave is given.
-    is_known : bool
+    is_loaded : bool
         Whether what the store holds was read, or need not be waited for.
 
     """
@@ -65,7 +65,7 @@
     def __init__(self, store_clock: StoreClock, clock: Clock) -> None:
         """Start without a table."""
         self.table: TrialTable | None = None
-        self.is_known = True
+        self.is_loaded = True
         self._store_clock = store_clock
         self._clock = clock
         self._rows: dict[int, TrialRow] = {}
@@ -135,12 +135,12 @@
         """
         if self.table is not None:
             rows = dict(await self.table.read_trials())
-            rows.update(self._list_lost(rows, self.table.era))
+            rows.update(self._find_lost_rows(rows, self.table.era))
             newest = sorted(rows.items(), key=lambda row: row[1].version)
             self._rows = dict(newest[-_ROWS_MAX:])
-            self.is_known = True
+            self.is_loaded = True
 
-    def _list_lost(
+    def _find_lost_rows(
         self, rows: Mapping[int, TrialRow], era: int
     ) -> dict[int, TrialRow]:
         """Give the rows of which a restore of the store has lost something.
@@ -180,22 +180,22 @@
                 request, TrialRow(known.trials + 1, at_ms, known.version)
             )
         except ConflictError:
-            await self._learn(request)
+            await self._refresh(request)
             return False
         except PlatformError as error:
-            self._note_failure(request, error)
+            self._record_failure(request, error)
             return False
         # The version is learned with the next word of the store.
-        await self._learn(request)
+        await self._refresh(request)
         return True
 
-    async def _learn(self, request: int) -> None:
+    async def _refresh(self, request: int) -> None:
         try:
             await self.read()
         except PlatformError as error:
-            self._note_failure(request, error)
+            self._record_failure(request, error)
 
-    def _note_failure(self, request: int, error: PlatformError) -> None:
+    def _record_failure(self, request: int, error: PlatformError) -> None:
         """Let a while pass: the write may be done without an answer."""
         self._failed_until_ms = self._clock.now() + _FAILED_PAUSE_MS
         _logger.warning(
