--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -36,8 +36,8 @@
     Mechanism(
         'headroom',
         'forwarding/headroom.py',
-        '_PART_MAX = 0.25',
-        '_PART_MAX = 0.0',
+        '_MAX_FRACTION = 0.25',
+        '_MAX_FRACTION = 0.0',
     ),
     Mechanism(
         'second turn first',
@@ -54,7 +54,7 @@
     Mechanism(
         'learned time to the first event',
         'forwarding/speeds.py',
-        'self.ttfb_factor = _blend(self.ttfb_factor, bounded, _LEARN_POOL)',
+        'self.ttfb_factor = _blend(self.ttfb_factor, bounded, _POOL_WEIGHT)',
         'self.ttfb_factor = 1.0',
     ),
     Mechanism(
--- a/seampond/forwarding/availability.py
+++ b/seampond/forwarding/availability.py
@@ -198,7 +198,7 @@
     def _bear_ms(self, queue: Queue, waiter: Waiter, now_ms: int) -> int:
         """Give how long a request waits for a permit at the most."""
         part = 1 - _LEAVES * queue.headroom.reserved_fraction(waiter.job)
-        return round(max(0, waiter.until_ms - now_ms) * part)
+        return round(max(0, waiter.expires_ms - now_ms) * part)
 
 
 def _count_coming(limited: Iterable[Backend], now_ms: int) -> int:
--- a/seampond/forwarding/capacity.py
+++ b/seampond/forwarding/capacity.py
@@ -1,4 +1,4 @@
-"""How far servers may be filled."""
+"""How many requests a gateway may have on each server."""
 
 from dataclasses import dataclass
 
@@ -7,26 +7,26 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityLimits:
-    """How far a request may fill servers.
+    """Limits on how far one request may fill a server.
 
     Explanation
     -----------
-    A gateway may fill its equal part of each server's slots.  Where there are
-    more gateways than slots that part is nothing, so one that is below its
-    part of the whole pool may go a little beyond the slots; all of them
-    together would have a server queue many.  Less urgent work counts fewer
-    slots.
+    A gateway may always fill its equal share of a server's slots, and more
+    while slots are free.  Where there are more gateways than slots that share
+    is zero, so a gateway below its share of the whole pool may exceed the
+    slots by a few; if all did, the server's own queue would grow long.  Less
+    urgent requests count fewer slots.
 
     Parameters
     ----------
     gateway_count : int
-        How many share the servers.
+        Number of gateways that share the servers.
     max_in_flight : int
-        How many requests we may have on one server.
+        Greatest number of requests of this gateway on one server.
     reserved_fraction : float
-        The part of the slots that is left free.
+        Fraction of the slots that stays free.
     extra_slots : int
-        The places beyond the slots.
+        Number of slots allowed beyond those of the server.
 
     """
 
@@ -36,13 +36,13 @@
     extra_slots: int
 
     def accepts(self, backend: Backend, now_ms: int) -> bool:
-        """Whether a server is used and has a place for one more of ours."""
+        """Return True if a server is usable and has a slot for a request."""
         if not backend.is_usable(now_ms):
             return False
         return self.has_slot(backend, backend.load(now_ms))
 
     def has_slot(self, backend: Backend, load: int) -> bool:
-        """Whether a server has a place for one more of ours."""
+        """Return True if a server with this load has a slot for a request."""
         if backend.in_flight >= self.max_in_flight:
             return False
         slots = backend.server.slots
@@ -50,5 +50,5 @@
         share = slots // self.gateway_count
         if backend.in_flight < share:
             return True
-        beyond = 0 if share else self.extra_slots
-        return load < slots + beyond
+        extra_slots = 0 if share else self.extra_slots
+        return load < slots + extra_slots
--- a/seampond/forwarding/headroom.py
+++ b/seampond/forwarding/headroom.py
@@ -1,32 +1,33 @@
-"""Places that less urgent work leaves free for more urgent work."""
+"""Slots that less urgent requests leave free for more urgent ones."""
 
 import zlib
 from dataclasses import dataclass, field
 
 from seampond.forwarding.job import Job
 
-_PART_A_STEP = 0.1
-_PART_MAX = 0.25
-_FREE_IN = 5
+_FRACTION_PER_STEP = 0.1
+_MAX_FRACTION = 0.25
+# One request in so many reserves nothing.
+_EXEMPT_EVERY = 5
 
 
 @dataclass(slots=True)
 class Headroom:
-    """The ranks of work that a pool has seen, and what each leaves free.
+    """The priorities that a pool has seen, and what each leaves free.
 
     Explanation
     -----------
-    Gateways do not see each other's queues, so rank in a queue orders only
-    what waits in one of them.  A place that less urgent work leaves free on
-    each server is there for urgent work of any gateway.  The tier goes before
-    the kind of work: nothing leaves less free than what ranks above it.
-    One request in five leaves nothing free, so that no rank is starved where
-    the urgent work alone would fill the pool.
+    A queue orders only the requests that wait in one gateway.  Slots that
+    less urgent requests leave free on each server are available to urgent
+    requests of any gateway.  The tenant's tier ranks above the kind of
+    request, and no request leaves fewer slots free than a more urgent one.
+    Some requests of every rank are exempt, so that none starves where urgent
+    requests alone would fill the pool.
 
     Parameters
     ----------
     tiers, kinds : set[int]
-        The ranks seen, 0 the highest.
+        Priorities of tenants and of routes seen so far, 0 the highest.
 
     """
 
@@ -34,26 +35,26 @@
     kinds: set[int] = field(default_factory=set)
 
     def record(self, job: Job) -> None:
-        """Note the ranks of a request."""
+        """Record the priorities of a request."""
         self.tiers.add(job.priority)
         self.kinds.add(job.route.priority)
 
     def count_reserved(self, job: Job, slots: int) -> int:
-        """Give how many of a server's slots a request leaves free."""
+        """Return how many of a server's slots a request leaves free."""
         return round(self.reserved_fraction(job) * slots)
 
     def reserved_fraction(self, job: Job) -> float:
-        """Give the part of a server's slots that a request leaves free."""
-        if job.has_streamed or not zlib.crc32(job.request_id) % _FREE_IN:
+        """Return the fraction of slots that a request leaves free."""
+        if job.has_streamed or not zlib.crc32(job.request_id) % _EXEMPT_EVERY:
             return 0
-        return min(_PART_MAX, self._steps(job) * _PART_A_STEP)
+        return min(_MAX_FRACTION, self._steps(job) * _FRACTION_PER_STEP)
 
     def _steps(self, job: Job) -> int:
-        """Give how many steps of rank a request is below the highest.
+        """Return how many ranks a request is below the most urgent one.
 
         Explanation
         -----------
-        The highest of several tiers leaves nothing free, whatever its kind.
+        Of several tiers the highest reserves nothing for any kind.
         """
         kind = sorted(self.kinds).index(job.route.priority)
         tier = sorted(self.tiers).index(job.priority)
--- a/seampond/forwarding/permits.py
+++ b/seampond/forwarding/permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to servers that name a limit, as the scheduler needs them."""
+"""The permits for servers with a limit, as the scheduler uses them."""
 
 from typing import Protocol
 
@@ -7,67 +7,67 @@
 
 
 class PermitSource(Protocol):
-    """Gives permits, or asks who gives them.
+    """Issue permits, or request them from the gateway that does.
 
     Explanation
     -----------
-    With `for_retry` a permit is for a caller that was told to come back: it
-    may be one of those that were reserved.
+    With `for_retry` the permit is for a caller's retry, which may use a
+    reserved one.
     """
 
     def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
-        """Whether a request may be sent to a server with a limit now."""
+        """Return True if a permit for the server can be acquired now."""
 
     def acquire(self, backend: Backend, *, for_retry: bool) -> Permit | None:
-        """Take up a permit to send now."""
+        """Return a permit to send now, None if there is none."""
 
     def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
-        """Ask for a permit that holds after so long at the latest."""
+        """Request a permit that becomes valid within `max_wait_ms`."""
 
     def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
-        """Give the time before which there is no other permit for us."""
+        """Return the time before which no further permit is expected."""
 
     def probe_limit(self, backend: Backend) -> None:
-        """Ask now and then, for a request that tells if the limit holds on."""
+        """Request a permit occasionally, to learn if the limit applies."""
 
     async def reserve(self, backend: Backend) -> int | None:
-        """Have a permit kept for a caller that is told to come back.
+        """Reserve a permit for the retry of a refused caller.
 
         Returns
         -------
         int or None
-            After how many milliseconds, None where nobody answers in time.
+            Milliseconds until the retry, None if there was no timely reply.
 
         """
 
 
 class NoPermitSource:
-    """Keeps servers with a limit closed."""
+    """Issue no permits, so that servers with a limit get no requests."""
 
     def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
-        """Allow none."""
+        """Return False."""
         return False
 
     def acquire(self, backend: Backend, *, for_retry: bool) -> Permit | None:
-        """Give one that has ended."""
+        """Return an expired permit."""
         return Permit(0, 0)
 
     def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
-        """Ask nobody."""
+        """Do nothing."""
 
     def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
-        """Know of no time."""
+        """Return 0: no time is known."""
         return 0
 
     def probe_limit(self, backend: Backend) -> None:
-        """Ask nobody."""
+        """Do nothing."""
 
     async def reserve(self, backend: Backend) -> int | None:
-        """Ask nobody."""
+        """Return None."""
 
 
 NO_PERMIT_SOURCE = NoPermitSource()
--- a/seampond/forwarding/queues.py
+++ b/seampond/forwarding/queues.py
@@ -1,4 +1,4 @@
-"""Those that wait for a place on the servers of one pool."""
+"""Requests that wait for a slot on the servers of one pool."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -11,36 +11,38 @@
 
 @dataclass(slots=True)
 class Waiter:
-    """A request that waits for a place.
+    """A request that waits for a slot.
 
     Parameters
     ----------
     avoid : set[str]
-        Servers that it was already sent to.
-    due_ms : float
-        When its answer should begin.
-    until_ms : int
-        Until when it waits.
+        Servers that were tried for the request already.
+    target_end_ms : float
+        When the target latency of the request is exceeded.
+    expires_ms : int
+        When the request stops waiting.
+    slot : asyncio.Future[Backend]
+        The server with the slot, or the refusal.
 
     """
 
     job: Job
     avoid: set[str]
-    due_ms: float
-    until_ms: int
+    target_end_ms: float
+    expires_ms: int
     slot: 'asyncio.Future[Backend]'
 
 
 @dataclass(slots=True)
 class Queue:
-    """Those that wait for one pool, the most urgent first.
+    """Requests that wait for one pool, the most urgent first.
 
     Parameters
     ----------
     retry_schedule : RetrySchedule
-        What those that limits turned away were told.
+        Retry times assigned to callers that were refused because of limits.
     next_check_ms : int or None
-        When to look again for a permit, None where none may come.
+        When a permit may become valid, None if none is expected.
 
     """
 
@@ -51,34 +53,34 @@
 
     @property
     def lowest_tier(self) -> int:
-        """The lowest rank of a tenant that waits, 0 if nobody does."""
-        return max((known.job.priority for known in self.waiters), default=0)
+        """The least urgent tier that waits, 0 for an empty queue."""
+        return max((waiter.job.priority for waiter in self.waiters), default=0)
 
-    def add(self, job: Job, avoid: set[str], until_ms: int) -> Waiter:
-        """Let a request wait in its order."""
+    def add(self, job: Job, avoid: set[str], expires_ms: int) -> Waiter:
+        """Add a request in its order."""
         waiter = Waiter(
             job,
             avoid,
             job.arrived_ms + job.route.target_ms,
-            until_ms,
+            expires_ms,
             asyncio.get_running_loop().create_future(),
         )
         self.waiters.append(waiter)
-        self.waiters.sort(key=_order)
+        self.waiters.sort(key=_sort_key)
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Let a request wait no longer, if it still does."""
+        """Remove a request if it is still queued."""
         if waiter in self.waiters:
             self.waiters.remove(waiter)
 
 
-def _order(waiter: Waiter) -> tuple[int, int, bool, bool, float]:
+def _sort_key(waiter: Waiter) -> tuple[int, int, bool, bool, float]:
     job = waiter.job
     return (
         job.priority,
         job.route.priority,
         not job.has_streamed,
         not job.is_retry,
-        waiter.due_ms,
+        waiter.target_end_ms,
     )
--- a/seampond/forwarding/retry_times.py
+++ b/seampond/forwarding/retry_times.py
@@ -1,7 +1,7 @@
-"""When a caller that was turned away should come back.
+"""When callers that were refused should retry.
 
-Load pattern: a burst that the servers cannot take for some seconds; each caller
-asks a second time at the most.
+Load pattern: a burst that the servers cannot serve for some seconds; each
+caller retries at most once.
 """
 
 from dataclasses import dataclass
@@ -9,53 +9,48 @@
 from seampond.clock import MS_PER_SECOND
 from seampond.forwarding.job import Job
 
-# Parts of the target between which those that were turned away are spread, so
-# that they do not come back as the burst that they were.  Most of them can be
-# in time still, which counts from the first try.  Spread over 0.08 to 0.3 of
-# the time left none could: of the callers of a burst of twice what the servers
-# take 0.61 were in time, 0.70 now, and 0.23 late, 0.07 now (mean of six seeds,
-# test_returning.py).
-_LEAST_PART = 0.2
-_MOST_PART = 0.9
-# A caller heeds no later time.
-_LEFT_PART = 0.3
-# Of what limits allow, what is kept for those that were told to come back.
+# Retries are spread between these fractions of the target latency, so that
+# they do not arrive as another burst but mostly still in time.
+_MIN_SPREAD = 0.2
+_MAX_SPREAD = 0.9
+# Of the time until its deadline, a caller waits no longer than this fraction.
+_REMAINING_FRACTION = 0.3
+# Share of the servers' limits that is reserved for retries.
 RETRY_SHARE = 0.35
 MAX_RETRY_AFTER_MS = 60_000
 
 
 def spread_retry_ms(job: Job, now_ms: int, draw: float) -> int:
-    """Give after how many milliseconds a caller should come back.
+    """Return after how many milliseconds a refused caller should retry.
 
     Parameters
     ----------
     draw : float
-        From 0 to 1, drawn for the caller.
+        Random number from 0 to 1 that places this caller in the spread.
 
     """
     left_ms = max(0, job.deadline_ms - now_ms)
-    part = _LEAST_PART + (_MOST_PART - _LEAST_PART) * draw
-    wait_ms = min(left_ms * _LEFT_PART, job.route.target_ms * part)
+    fraction = _MIN_SPREAD + (_MAX_SPREAD - _MIN_SPREAD) * draw
+    wait_ms = min(left_ms * _REMAINING_FRACTION, job.route.target_ms * fraction)
     return max(1, round(wait_ms))
 
 
 @dataclass(slots=True)
 class RetrySchedule:
-    """When callers of a pool whose servers all name limits may come back.
+    """Retry times for a pool whose servers all have limits.
 
     Explanation
     -----------
-    Told a time soon, as elsewhere, all come back together to what the limits
-    do not allow: of twice as many callers as two gateways may send, half of
-    those that came back were turned away once more, and of those that came for
-    the first time nearly all.
+    The times are spaced by the rate that the limits leave for retries.
+    Retries that arrive together would mostly be refused again, and would
+    take the permits of first tries.
 
     Parameters
     ----------
     next_ms : int
-        The first time that nobody was told.
+        Earliest time that is not assigned to a caller yet.
     rate : float
-        The requests a second by which the times were told.
+        Requests per second for which `next_ms` was computed.
 
     """
 
@@ -63,14 +58,14 @@
     rate: float = 0
 
     def reserve(self, available_ms: int, rate: float) -> int:
-        """Give a time that no other caller is told.
+        """Assign a retry time to one caller.
 
         Parameters
         ----------
         available_ms : int
-            The first moment at which a request may be sent.
+            When the first server becomes available.
         rate : float
-            The requests a second that we may send, more than none.
+            Requests per second that this gateway may send, above 0.
 
         Examples
         --------
@@ -82,7 +77,7 @@
         if rate != self.rate:
             self.rate = rate
             self.next_ms = available_ms
-        booked_ms = max(available_ms, self.next_ms)
-        booked_ms = min(booked_ms, available_ms + MAX_RETRY_AFTER_MS)
-        self.next_ms = booked_ms + round(MS_PER_SECOND / (rate * RETRY_SHARE))
-        return booked_ms
+        reserved_ms = max(available_ms, self.next_ms)
+        reserved_ms = min(reserved_ms, available_ms + MAX_RETRY_AFTER_MS)
+        self.next_ms = reserved_ms + round(MS_PER_SECOND / (rate * RETRY_SHARE))
+        return reserved_ms
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -368,7 +368,7 @@
         while True:
             # A pause of a server may have ended, or a report grown old.
             self.process_queue(pool)
-            left_ms = waiter.until_ms - self._clock.now()
+            left_ms = waiter.expires_ms - self._clock.now()
             if left_ms <= 0 and not waiter.slot.done():
                 raise self._give_up(waiter.job)
             step_ms = max(1, min(left_ms, self._next_look_ms(pool)))
--- a/seampond/forwarding/server_limit.py
+++ b/seampond/forwarding/server_limit.py
@@ -1,67 +1,68 @@
-"""The limit that a server names, and our permits to send to it."""
+"""Rate limits that servers report, and this gateway's permits under them."""
 
 from dataclasses import dataclass, field
 
-# How long after it holds a permit may be taken up; the sum over gateways bears
-# what is late by so much.
+# How long a permit can be used after it becomes valid.
 _PERMIT_MS = 500
-# How much later the request may go out: a connection may have to be made.
+# Allowance after that for opening a connection.
 _SEND_MS = 300
-# A word so old may have been taken back, and nobody has heard it yet.
-_WORD_AGE_MS = 1000
+# After this a limit may have been lifted without a gateway having noticed.
+_STALE_AFTER_MS = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Leave to send one request.
+    """Permission to send one request to a server with a limit.
 
     Parameters
     ----------
-    from_ms, until_ms : int
-        When it may be taken up.
+    valid_from_ms, valid_until_ms : int
+        When the permit can be acquired.
 
     """
 
-    from_ms: int
-    until_ms: int
+    valid_from_ms: int
+    valid_until_ms: int
 
-    def holds(self, now_ms: int) -> bool:
-        """Whether it may be taken up now."""
-        return self.from_ms <= now_ms < self.until_ms
+    def is_valid(self, now_ms: int) -> bool:
+        """Return True if the permit can be acquired now."""
+        return self.valid_from_ms <= now_ms < self.valid_until_ms
 
     def may_send(self, now_ms: int) -> bool:
-        """Whether a request that has taken it up may still go out."""
-        return now_ms < self.until_ms + _SEND_MS
+        """Return True if a request that holds the permit may still be sent."""
+        return now_ms < self.valid_until_ms + _SEND_MS
 
 
 @dataclass(slots=True)
 class ServerLimit:
-    """What one life of a server takes, and what we may send of it.
+    """The rate limit of one server incarnation and the permits held for it.
 
     Parameters
     ----------
     rate : float or None
-        The requests a second that it takes from all gateways together.
+        Requests per second that the server accepts from all gateways
+        together, None without a limit.
     reported_ms : int or None
-        When the request was sent whose answer said so, None if it has never
-        named a limit.
+        When the request was sent whose response carried the report, None if
+        the server has never reported a limit.
     permits : list[Permit]
-        Those that nobody has taken up yet.
+        Permits that no request has acquired yet.
     requested_ms : int or None
-        Since when we wait for an answer to our asking for one.
+        When the pending permit request was sent, None if none is pending.
     resend_at_ms, reply_due_ms : int
-        When we ask once more, and when we wait for the answer no longer.
+        When the pending request is sent again, and when it times out.
     request_number : int
-        Of the latest time that we asked.
+        Number of the latest permit request.
     is_for_retry : bool
-        Whether we asked for a caller that was told to come back.
+        Whether that request was for a caller's retry.
     available_ms, retry_available_ms : int
-        Before this there is no other permit for us, as far as we know; for a
-        caller that was told to come back.
+        No further permit is expected before this time, for a first try and
+        for a caller's retry.
     next_probe_ms : int
-        Before this we do not ask only to hear whether the limit holds on.
+        No permit is requested before this time merely to learn whether the
+        limit still applies.
     reservations_full_until_ms : int
-        Before this no time to come back can be reserved.
+        No permit can be reserved before this time.
 
     """
 
@@ -80,16 +81,23 @@
 
     @property
     def is_set(self) -> bool:
-        """Whether there is a limit."""
+        """Whether the server has a limit."""
         return self.rate is not None
 
     def update(self, rate: float | None, reported_ms: int) -> bool:
-        """Take what an answer says; tell whether it is another limit.
+        """Apply a report unless a newer one is known.
 
         Explanation
         -----------
-        An answer to an older request is no newer word.  Of two as old as
-        each other the one with a limit counts.
+        Reports are ordered by when their requests were sent, since responses
+        may overtake each other.  Of two equally old reports the one with a
+        limit wins.
+
+        Returns
+        -------
+        bool
+            True if the limit has changed.
+
         """
         if self.reported_ms is None:
             if rate is None:
@@ -98,70 +106,77 @@
             return False
         elif rate is None and reported_ms == self.reported_ms:
             return False
-        is_other = rate != self.rate
+        has_changed = rate != self.rate
         self.rate = rate
         self.reported_ms = reported_ms
-        if is_other:
+        if has_changed:
             self.available_ms = 0
             self.retry_available_ms = 0
             self.reservations_full_until_ms = 0
         if rate is None:
             self.permits.clear()
             self.requested_ms = None
-        return is_other
+        return has_changed
 
     def record_refusal(self, until_ms: int) -> None:
-        """Note until when we get no permit like the one that we asked for."""
+        """Record until when permits of the requested kind are unavailable."""
         if self.is_for_retry:
             self.retry_available_ms = until_ms
         else:
             self.available_ms = until_ms
 
     def is_stale(self, now_ms: int) -> bool:
-        """Whether the last word is so old that it may not hold any more."""
+        """Return True if the latest report may no longer apply."""
         reported_ms = self.reported_ms
-        return reported_ms is not None and now_ms - reported_ms >= _WORD_AGE_MS
+        return (
+            reported_ms is not None and now_ms - reported_ms >= _STALE_AFTER_MS
+        )
 
     def has_permit(self, now_ms: int) -> bool:
-        """Whether a request may be sent now."""
-        return any(permit.holds(now_ms) for permit in self.permits)
+        """Return True if a permit can be acquired now."""
+        return any(permit.is_valid(now_ms) for permit in self.permits)
 
     def add_permit(self, now_ms: int, requested_ms: int, wait_ms: int) -> None:
-        """Keep a permit that holds after a wait.
+        """Add a permit that becomes valid after a wait.
 
         Parameters
         ----------
         requested_ms : int
-            When we asked, which was before it was given.
+            When the permit was requested.  Its expiry counts from here,
+            since the issuer granted it before the reply arrived.
 
         """
         until_ms = requested_ms + wait_ms + _PERMIT_MS
         self.permits.append(Permit(now_ms + wait_ms, until_ms))
 
     def acquire_permit(self, now_ms: int) -> Permit | None:
-        """Take up the permit that ends first, if there is one."""
+        """Remove and return the valid permit that expires first, if any."""
         self.discard_expired(now_ms)
-        held = [permit for permit in self.permits if permit.holds(now_ms)]
-        if not held:
+        valid = [permit for permit in self.permits if permit.is_valid(now_ms)]
+        if not valid:
             return None
-        first = min(held, key=lambda permit: permit.until_ms)
+        first = min(valid, key=lambda permit: permit.valid_until_ms)
         self.permits.remove(first)
         return first
 
     def discard_expired(self, now_ms: int) -> None:
-        """Forget permits that have ended."""
+        """Discard permits that have expired."""
         self.permits = [
-            permit for permit in self.permits if now_ms < permit.until_ms
+            permit for permit in self.permits if now_ms < permit.valid_until_ms
         ]
 
     def next_event_ms(self, now_ms: int) -> int | None:
-        """Give when a permit holds next, or an answer is overdue."""
-        times = [permit.from_ms for permit in self.permits]
+        """Return when a permit becomes valid or a reply falls due, if ever."""
+        times = [permit.valid_from_ms for permit in self.permits]
         if self.requested_ms is not None:
             times.extend((self.resend_at_ms, self.reply_due_ms))
-        return min((one for one in times if one > now_ms), default=None)
+        return min(
+            (time_ms for time_ms in times if time_ms > now_ms), default=None
+        )
 
     def count_expected(self, now_ms: int) -> int:
-        """Count the permits that hold now or later, and that are asked for."""
-        held = sum(now_ms < permit.until_ms for permit in self.permits)
-        return held + (self.requested_ms is not None)
+        """Count unexpired permits, and the pending request as one more."""
+        unexpired = sum(
+            now_ms < permit.valid_until_ms for permit in self.permits
+        )
+        return unexpired + (self.requested_ms is not None)
--- a/seampond/forwarding/speeds.py
+++ b/seampond/forwarding/speeds.py
@@ -1,37 +1,39 @@
-"""How fast servers are, learned from their answers."""
+"""Speeds of servers, estimated from their responses."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from statistics import median
 
-_LEARN = 0.25
-_LEARN_POOL = 0.05
-_PAUSE_KEPT = 0.97
-_MIN_PACE = 0.25
-_MAX_PACE = 8.0
+# Weights of a new observation in the moving averages.
+_SERVER_WEIGHT = 0.25
+_POOL_WEIGHT = 0.05
+# The longest pause decays by this factor with each stream.
+_PAUSE_DECAY = 0.97
+_MIN_SLOWDOWN = 0.25
+_MAX_SLOWDOWN = 8.0
 _MIN_FACTOR = 0.3
 _MAX_FACTOR = 4.0
-_FIRST_SERVICE_MS = 25.0
-_FIRST_TOKENS_PER_EVENT = 4.0
-_FIRST_GAP_MS = 25.0
+_INITIAL_SERVICE_MS = 25.0
+_INITIAL_TOKENS_PER_EVENT = 4.0
+_INITIAL_GAP_MS = 25.0
 
 
-def _blend(known: float, told: float, weight: float) -> float:
-    return known + weight * (told - known) if known else told
+def _blend(average: float, observed: float, weight: float) -> float:
+    return average + weight * (observed - average) if average else observed
 
 
 @dataclass(slots=True)
 class Speed:
-    """What one server's answers have taught; 0 where nothing has.
+    """Averages over the responses of one server, 0 where there are none.
 
     Parameters
     ----------
     gap_ms : float
-        Between two events of a stream.
+        Time between two events of a stream.
     service_ms : float
-        From the send to the end of an answer that is no stream.
+        Time from request to end of a response that is not streamed.
     pause_ms : float
-        The longest pause in a stream of late, decaying.
+        Longest recent pause in a stream, decaying.
 
     """
 
@@ -40,63 +42,67 @@
     pause_ms: float = 0
 
     def record_pause(self, pause_ms: float) -> None:
-        """Learn from the longest pause of one stream."""
-        self.pause_ms = max(self.pause_ms * _PAUSE_KEPT, pause_ms)
+        """Record the longest pause of one stream."""
+        self.pause_ms = max(self.pause_ms * _PAUSE_DECAY, pause_ms)
 
     def record_gap(self, gap_ms: float) -> None:
-        """Learn from the events of one stream."""
-        self.gap_ms = _blend(self.gap_ms, max(1.0, gap_ms), _LEARN)
+        """Record the time between the events of one stream."""
+        self.gap_ms = _blend(self.gap_ms, max(1.0, gap_ms), _SERVER_WEIGHT)
 
     def record_service(self, took_ms: float) -> None:
-        """Learn from one answer that was no stream."""
-        self.service_ms = _blend(self.service_ms, max(1.0, took_ms), _LEARN)
+        """Record the service time of one response that was not streamed."""
+        self.service_ms = _blend(
+            self.service_ms, max(1.0, took_ms), _SERVER_WEIGHT
+        )
 
 
 @dataclass(slots=True)
 class PoolSpeed:
-    """What the answers of a pool's servers have taught together.
+    """Averages over the responses of all servers of a pool.
 
     Parameters
     ----------
     gap_ms : float
-        The median of its servers' gaps between events.
+        Median over the servers of the time between events.
     tokens_per_event : float
-        Tokens asked for, for each event that came.
+        Requested tokens per received event.
+    service_ms : float
+        Median over the servers of the service time.
     ttfb_factor : float
-        The time to the first event against what was expected.
+        Ratio of observed to estimated time to the first event.
 
     """
 
-    gap_ms: float = _FIRST_GAP_MS
-    tokens_per_event: float = _FIRST_TOKENS_PER_EVENT
-    service_ms: float = _FIRST_SERVICE_MS
+    gap_ms: float = _INITIAL_GAP_MS
+    tokens_per_event: float = _INITIAL_TOKENS_PER_EVENT
+    service_ms: float = _INITIAL_SERVICE_MS
     ttfb_factor: float = 1.0
 
     def refresh(self, speeds: Iterable[Speed]) -> None:
-        """Take the medians of the servers' own speeds."""
-        known = list(speeds)
-        gaps = [speed.gap_ms for speed in known if speed.gap_ms]
-        services = [speed.service_ms for speed in known if speed.service_ms]
+        """Recompute the medians from the speeds of the servers."""
+        listed = list(speeds)
+        gaps = [speed.gap_ms for speed in listed if speed.gap_ms]
+        services = [speed.service_ms for speed in listed if speed.service_ms]
         if gaps:
             self.gap_ms = median(gaps)
         if services:
             self.service_ms = median(services)
 
     def record_first_event(self, took_ms: float, expected_ms: float) -> None:
-        """Learn from the time to one first event."""
+        """Record the time to the first event of one stream."""
         ratio = took_ms / max(1.0, expected_ms)
         bounded = min(_MAX_FACTOR, max(_MIN_FACTOR, ratio))
-        self.ttfb_factor = _blend(self.ttfb_factor, bounded, _LEARN_POOL)
+        self.ttfb_factor = _blend(self.ttfb_factor, bounded, _POOL_WEIGHT)
 
     def record_stream(self, tokens: int, events: int) -> None:
-        """Learn the size of an event from one whole stream."""
+        """Record the tokens and events of one complete stream."""
         if tokens and events:
             self.tokens_per_event = _blend(
-                self.tokens_per_event, tokens / events, _LEARN_POOL
+                self.tokens_per_event, tokens / events, _POOL_WEIGHT
             )
 
     def slowdown(self, speed: Speed) -> float:
-        """Give how slow a server is against its pool; 1 where unknown.
+        """Return how slow a server is relative to its pool, 1 if unknown.
 
         Examples
         --------
@@ -105,8 +111,8 @@
 
         """
         ratio = speed.gap_ms / self.gap_ms if speed.gap_ms else 1.0
-        return min(_MAX_PACE, max(_MIN_PACE, ratio))
+        return min(_MAX_SLOWDOWN, max(_MIN_SLOWDOWN, ratio))
 
     def token_ms(self, speed: Speed) -> float:
-        """Give the time that a server takes to make one token."""
+        """Return the time that a server takes to generate one token."""
         return (speed.gap_ms or self.gap_ms) / self.tokens_per_event
--- a/seampond/forwarding/tests/test_server_limit.py
+++ b/seampond/forwarding/tests/test_server_limit.py
@@ -59,7 +59,7 @@
         limit.add_permit(100, 100, 0)
         first = limit.acquire_permit(300)
         assert first is not None
-        self.assertEqual(first.from_ms, 100)
+        self.assertEqual(first.valid_from_ms, 100)
         self.assertIsNotNone(limit.acquire_permit(300))
         self.assertIsNone(limit.acquire_permit(300))
 
