--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -108,19 +108,19 @@
     Mechanism(
         'fairness of quotas',
         'sharing/fairness.py',
-        'return max(kept, default=0)',
-        'return max(kept[:0], default=0)',
+        'return max(reserved, default=0)',
+        'return max(reserved[:0], default=0)',
     ),
     Mechanism(
         'low quota for urgent work',
         'sharing/quotas.py',
-        '_LOW_PART = 0.25',
-        '_LOW_PART = -1000.0',
+        '_LOW_LEVEL_FRACTION = 0.25',
+        '_LOW_LEVEL_FRACTION = -1000.0',
     ),
     Mechanism(
         'levels of an older gateway',
         'sharing/quotas.py',
-        'if not self._knows_levels or not self._peers.has_newcomer:',
+        'if not self._has_fleet_levels or not self._peers.has_newcomer:',
         'if self:',
     ),
     Mechanism(
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -126,7 +126,7 @@
         self.backends.update_remote_loads(
             {
                 server: RemoteLoad(load.running, load.pending_tokens, now_ms)
-                for server, load in self.peers.loads.pop_changed().items()
+                for server, load in self.peers.load_totals.pop_changed().items()
             }
         )
 
--- a/seampond/sharing/bucket.py
+++ b/seampond/sharing/bucket.py
@@ -9,13 +9,13 @@
 
 # Of the share and of the units that may be given beyond a quota, what is given;
 # the rest is left for what gateways have not told each other yet.
-_SHARE_PART = 0.6
-_UNITS_PART = 0.55
+_GRANTED_SHARE_FRACTION = 0.6
+_GRANTED_UNITS_FRACTION = 0.55
 # Of that, what flows in all the time; windows that are never quite full bear
 # that a gateway which has just started, or was cut off, knows less.
-_FLOW_PART = 0.9
+_FLOW_FRACTION = 0.9
 # A bucket above this part of its burst is in no hurry to be told of.
-_AMPLE_PART = 0.5
+_AMPLE_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,19 +37,22 @@
     units: float
     window_ms: int = 8000
 
-    def give_most(self, tenant: Tenant) -> float:
+    def max_grant(self, tenant: Tenant) -> float:
         """Give what all gateways together give in any window.
 
         Examples
         --------
-        >>> QuotaMargin(0.1, 1000).give_most(Tenant('t', rate=100, burst=200))
+        >>> QuotaMargin(0.1, 1000).max_grant(Tenant('t', rate=100, burst=200))
         1610.0
 
         """
         quota = tenant.rate * self.window_ms / MS_PER_SECOND + tenant.burst
-        return quota * (1 + self.share * _SHARE_PART) + self.units * _UNITS_PART
+        return (
+            quota * (1 + self.share * _GRANTED_SHARE_FRACTION)
+            + self.units * _GRANTED_UNITS_FRACTION
+        )
 
-    def give_rate(self, tenant: Tenant) -> float:
+    def max_rate(self, tenant: Tenant) -> float:
         """Give the units a second that may be given for ever.
 
         Explanation
@@ -60,14 +63,14 @@
         was given 33,000 of the 62,000 that the bound allowed, on a fleet of
         18 gateways.
         """
-        most = self.give_most(tenant) * _FLOW_PART
+        most = self.max_grant(tenant) * _FLOW_FRACTION
         return max(tenant.rate, most * MS_PER_SECOND / self.window_ms)
 
-    def give_reserve(self, tenant: Tenant) -> float:
+    def reserve(self, tenant: Tenant) -> float:
         """Give what is left for what gateways have not told yet."""
         quota = tenant.rate * self.window_ms / MS_PER_SECOND + tenant.burst
-        left = quota * self.share * (1 - _SHARE_PART)
-        return left + self.units * (1 - _UNITS_PART)
+        left = quota * self.share * (1 - _GRANTED_SHARE_FRACTION)
+        return left + self.units * (1 - _GRANTED_UNITS_FRACTION)
 
 
 @dataclass(slots=True)
@@ -78,21 +81,21 @@
     ----------
     level : float
         What all gateways together may still give.
-    plain : float
+    base_level : float
         The level, had nothing flowed in beyond the rate.
-    part_level : float
+    partial_level : float
         What those that are heard may give while some gateway is silent.
-    part : float
+    reachable_fraction : float
         The part of all gateways that was heard last.
     spent : float
         What we have given in this life of the process.
-    told : float
+    reported : float
         How much of it the others have been told.
     fairness : Fairness
         What the ranks of work have asked here.
     window : GrantWindow
         What all gateways have given in the last window, as far as we know.
-    parted_ms : int
+    partition_start_ms : int
         Since when some gateway is silent.
 
     """
@@ -102,26 +105,26 @@
     fairness: Fairness
     window: GrantWindow
     level: float = 0
-    plain: float = 0
-    part_level: float = 0
-    part: float = 1
+    base_level: float = 0
+    partial_level: float = 0
+    reachable_fraction: float = 1
     spent: float = 0
-    told: float = 0
-    parted_ms: int = 0
+    reported: float = 0
+    partition_start_ms: int = 0
 
     def spend(self, now_ms: int, units: float) -> None:
         """Take units that we give; fewer than none for a refund."""
-        self.take_given(now_ms, units)
+        self.deduct(now_ms, units)
         self.spent += units
 
-    def take_given(self, now_ms: int, units: float) -> None:
+    def deduct(self, now_ms: int, units: float) -> None:
         """Take units that another gateway says it has given."""
         self.level -= units
-        self.plain -= units
-        self.part_level -= units
+        self.base_level -= units
+        self.partial_level -= units
         self.window.add(now_ms, units)
 
-    def limit_by(self, tenant: Tenant) -> None:
+    def update_limits(self, tenant: Tenant) -> None:
         """Take the limits of a newer configuration.
 
         Explanation
@@ -133,15 +136,15 @@
             self.window.clear()
         self.tenant = tenant
 
-    def is_ample(self, now_ms: int, margin: QuotaMargin) -> bool:
+    def has_ample_level(self, now_ms: int, margin: QuotaMargin) -> bool:
         """Whether what one gateway gives is in no hurry to be told."""
-        most = margin.give_most(self.tenant) * self.part
-        if self.left(now_ms, margin) < most * _AMPLE_PART:
+        most = margin.max_grant(self.tenant) * self.reachable_fraction
+        if self.remaining(now_ms, margin) < most * _AMPLE_FRACTION:
             return False
-        ample = self.tenant.burst * self.part * _AMPLE_PART
-        return min(self.level, self.part_level) > ample
+        ample = self.tenant.burst * self.reachable_fraction * _AMPLE_FRACTION
+        return min(self.level, self.partial_level) > ample
 
-    def left(self, now_ms: int, margin: QuotaMargin) -> float:
+    def remaining(self, now_ms: int, margin: QuotaMargin) -> float:
         """Give what the window still has room for.
 
         Explanation
@@ -149,12 +152,16 @@
         What the silent may be giving grows from nothing to their part of a
         whole window.
         """
-        most = margin.give_most(self.tenant)
-        silent_part = min(1, (now_ms - self.parted_ms) / margin.window_ms)
-        known_part = 1 - (1 - self.part) * silent_part
-        return most * known_part - self.window.total(now_ms)
-
-    def fill(self, now_ms: int, margin: QuotaMargin, part: float) -> None:
+        most = margin.max_grant(self.tenant)
+        silent_fraction = min(
+            1, (now_ms - self.partition_start_ms) / margin.window_ms
+        )
+        known_fraction = 1 - (1 - self.reachable_fraction) * silent_fraction
+        return most * known_fraction - self.window.total(now_ms)
+
+    def refill(
+        self, now_ms: int, margin: QuotaMargin, reachable_fraction: float
+    ) -> None:
         """Let flow in what has come since the last time.
 
         Explanation
@@ -166,21 +173,29 @@
 
         Parameters
         ----------
-        part : float
+        reachable_fraction : float
             The part of all gateways that is heard, this one among them.
 
         """
-        factor = 1 + margin.share * _SHARE_PART
+        factor = 1 + margin.share * _GRANTED_SHARE_FRACTION
         burst = self.tenant.burst * factor
         seconds = (now_ms - self.filled_ms) / MS_PER_SECOND
-        flowed = margin.give_rate(self.tenant) * seconds
-        plain = self.plain + self.tenant.rate * factor * seconds
-        self.plain = max(-margin.units * _UNITS_PART, min(burst, plain))
+        flowed = margin.max_rate(self.tenant) * seconds
+        base_level = self.base_level + self.tenant.rate * factor * seconds
+        self.base_level = max(
+            -margin.units * _GRANTED_UNITS_FRACTION, min(burst, base_level)
+        )
         self.filled_ms = now_ms
         self.level = min(burst, self.level + flowed)
-        if part < self.part and self.part_level > 0:
-            self.part_level *= part / self.part
-        if self.part == 1 and part < 1:
-            self.parted_ms = now_ms
-        self.part = part
-        self.part_level = min(burst * part, self.part_level + flowed * part)
+        if (
+            reachable_fraction < self.reachable_fraction
+            and self.partial_level > 0
+        ):
+            self.partial_level *= reachable_fraction / self.reachable_fraction
+        if self.reachable_fraction == 1 and reachable_fraction < 1:
+            self.partition_start_ms = now_ms
+        self.reachable_fraction = reachable_fraction
+        self.partial_level = min(
+            burst * reachable_fraction,
+            self.partial_level + flowed * reachable_fraction,
+        )
--- a/seampond/sharing/fairness.py
+++ b/seampond/sharing/fairness.py
@@ -5,8 +5,8 @@
 
 from seampond.clock import Clock
 
-_DECAY_MS = 2000.0
-_REMEMBER_MS = 1000
+_DECAY_TIME_MS = 2000.0
+_REFUSAL_MEMORY_MS = 1000
 
 
 @dataclass(slots=True)
@@ -15,7 +15,7 @@
 
     Parameters
     ----------
-    asked, given : float
+    requested, granted : float
         Requests, decaying with time.
     refused_units : float
         What the last refused request wanted.
@@ -24,23 +24,23 @@
 
     """
 
-    asked: float = 0
-    given: float = 0
-    noted_ms: int = 0
+    requested: float = 0
+    granted: float = 0
+    updated_ms: int = 0
     refused_units: float = 0
     refused_ms: int | None = None
 
     @property
-    def share(self) -> float:
+    def granted_fraction(self) -> float:
         """The part of its requests that was given; 1 if it asked nothing."""
-        return self.given / self.asked if self.asked else 1.0
+        return self.granted / self.requested if self.requested else 1.0
 
     def decay(self, now_ms: int) -> None:
         """Let what is past count for less."""
-        factor = math.exp((self.noted_ms - now_ms) / _DECAY_MS)
-        self.asked *= factor
-        self.given *= factor
-        self.noted_ms = now_ms
+        factor = math.exp((self.updated_ms - now_ms) / _DECAY_TIME_MS)
+        self.requested *= factor
+        self.granted *= factor
+        self.updated_ms = now_ms
 
 
 class Fairness:
@@ -57,8 +57,8 @@
     Examples
     --------
     >>> fairness = Fairness(Clock(lambda: 0))
-    >>> fairness.note(0, 400, is_given=False)
-    >>> fairness.kept_from(2), fairness.kept_from(0)
+    >>> fairness.record(0, 400, is_granted=False)
+    >>> fairness.reserved_above(2), fairness.reserved_above(0)
     (400, 0)
 
     """
@@ -68,28 +68,28 @@
         self._clock = clock
         self._by_rank: dict[int, Demand] = {}
 
-    def note(self, rank: int, units: float, *, is_given: bool) -> None:
+    def record(self, rank: int, units: float, *, is_granted: bool) -> None:
         """Note a request of `rank`, and whether it was given."""
         now_ms = self._clock.now()
-        known = self._by_rank.setdefault(rank, Demand())
-        known.decay(now_ms)
-        known.asked += 1
-        if is_given:
-            known.given += 1
+        demand = self._by_rank.setdefault(rank, Demand())
+        demand.decay(now_ms)
+        demand.requested += 1
+        if is_granted:
+            demand.granted += 1
         else:
-            known.refused_units = units
-            known.refused_ms = now_ms
+            demand.refused_units = units
+            demand.refused_ms = now_ms
 
-    def kept_from(self, rank: int) -> float:
+    def reserved_above(self, rank: int) -> float:
         """Give the units that a request of `rank` has to leave for others."""
-        own = self._by_rank.get(rank, Demand(asked=1))
-        since_ms = self._clock.now() - _REMEMBER_MS
-        kept = [
-            known.refused_units
-            for other, known in self._by_rank.items()
-            if other < rank
-            and known.refused_ms is not None
-            and known.refused_ms >= since_ms
-            and known.share <= own.share
+        own = self._by_rank.get(rank, Demand(requested=1))
+        since_ms = self._clock.now() - _REFUSAL_MEMORY_MS
+        reserved = [
+            demand.refused_units
+            for other_rank, demand in self._by_rank.items()
+            if other_rank < rank
+            and demand.refused_ms is not None
+            and demand.refused_ms >= since_ms
+            and demand.granted_fraction <= own.granted_fraction
         ]
-        return max(kept, default=0)
+        return max(reserved, default=0)
--- a/seampond/sharing/peers.py
+++ b/seampond/sharing/peers.py
@@ -10,25 +10,25 @@
 from seampond.sharing.heartbeats import Heartbeat, Load
 from seampond.sharing.loads import LoadTotals
 
-_BEAT_MS = 300
-_LONGEST_BEAT_MS = 3000
+_HEARTBEAT_INTERVAL_MS = 300
+_MAX_HEARTBEAT_INTERVAL_MS = 3000
 # Each tells each, so beyond this many the pace slows and what one gateway
 # hears stays at 100 heartbeats a second: 340 gateways at 300 ms would send
 # each of them 1,130.
-_FULL_PACE_GATEWAYS = 30
-_SILENT_BEATS = 3
+_FULL_RATE_GATEWAYS = 30
+_SILENT_INTERVALS = 3
 # How many answer a gateway that has just started: one would do, and some of
 # the answers are lost or come from gateways that know no levels themselves.
-_FEW_GATEWAYS = 8
+_SAMPLE_SIZE = 8
 # How many gateways follow the tables of the store and pass changes on: one may
 # freeze, one be cut off and one just end before the others notice.
-_FOLLOWERS = 4
-_FORGET_MS = 20_000
+_FOLLOWER_COUNT = 4
+_FORGET_AFTER_MS = 20_000
 # Some heartbeats of a gateway's life, of which some may be lost.
-_YOUNG_MS = 2000
+_NEWCOMER_UPTIME_MS = 2000
 # How long a count of who is heard is good for: it is asked for several times
 # for each request, and takes a look at each gateway.
-_COUNTED_MS = 20
+_SUMMARY_MAX_AGE_MS = 20
 _logger = logging.getLogger(__name__)
 
 
@@ -38,36 +38,38 @@
 
     Parameters
     ----------
-    seen_ms : int
+    last_seen_ms : int
         When it was first known or last heard.
     heartbeat : Heartbeat or None
         The newest that came from it.
-    unread_ms : int
+    undecodable_ms : int
         When something last came from it that cannot be read, 0 for never.
     is_silent : bool
         Whether it was not heard of late.
-    counted : Mapping[int, Load]
+    counted_loads : Mapping[int, Load]
         What of its load is in the sums.
 
     """
 
     name: str
     address: str
-    seen_ms: int
+    last_seen_ms: int
     heartbeat: Heartbeat | None = None
-    unread_ms: int = 0
+    undecodable_ms: int = 0
     is_silent: bool = True
-    counted: Mapping[int, Load] = field(default_factory=dict)
+    counted_loads: Mapping[int, Load] = field(default_factory=dict)
 
     @property
     def has_stopped(self) -> bool:
         """Whether it has ended a planned stop."""
         return self.heartbeat is not None and self.heartbeat.has_stopped
 
-    def count_loads(self, sums: LoadTotals, loads: Mapping[int, Load]) -> None:
+    def update_load_totals(
+        self, sums: LoadTotals, loads: Mapping[int, Load]
+    ) -> None:
         """Put its loads into sums in the place of those before."""
-        sums.replace(self.counted, loads)
-        self.counted = loads
+        sums.replace(self.counted_loads, loads)
+        self.counted_loads = loads
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +82,7 @@
         Whether one that is heard is not about to stop.
     has_newcomer : bool
         Whether one that is heard has just started.
-    before : int
+    followers_before : int
         How many that are heard and reach the store come before us.
     permit_issuers : tuple[str, ...]
         Those that are heard and give permits.
@@ -89,10 +91,10 @@
 
     at_ms: int
     alive: int = 0
-    heard: int = 0
+    reachable: int = 0
     has_serving_peer: bool = False
     has_newcomer: bool = False
-    before: int = 0
+    followers_before: int = 0
     permit_issuers: tuple[str, ...] = ()
 
 
@@ -105,8 +107,10 @@
     [300, 680, 3000]
 
     """
-    slowed_ms = _BEAT_MS * gateways // _FULL_PACE_GATEWAYS
-    return max(_BEAT_MS, min(_LONGEST_BEAT_MS, slowed_ms))
+    slowed_ms = _HEARTBEAT_INTERVAL_MS * gateways // _FULL_RATE_GATEWAYS
+    return max(
+        _HEARTBEAT_INTERVAL_MS, min(_MAX_HEARTBEAT_INTERVAL_MS, slowed_ms)
+    )
 
 
 class Peers:
@@ -135,15 +139,15 @@
         self.has_gateway_list = False
         self.registration_version = 0
         self.name = name
-        self.loads = LoadTotals()
+        self.load_totals = LoadTotals()
         self._clock = clock
         self._peers: dict[str, Peer] = {}
-        self._counted: PeerSummary | None = None
+        self._cached_summary: PeerSummary | None = None
 
     @property
     def count(self) -> int:
         """How many gateways there may be, this one among them."""
-        return self._census.alive + 1
+        return self._summary.alive + 1
 
     @property
     def heartbeat_interval_ms(self) -> int:
@@ -153,7 +157,7 @@
     @property
     def interval_factor(self) -> float:
         """How much more seldom each does what grows with the gateways."""
-        return max(1, self.count / _FULL_PACE_GATEWAYS)
+        return max(1, self.count / _FULL_RATE_GATEWAYS)
 
     @property
     def sample_probability(self) -> float:
@@ -164,7 +168,7 @@
         Where each of 68 gateways answers each other's start, one start of all
         makes 4,600 datagrams.
         """
-        return min(1.0, _FEW_GATEWAYS / self.count)
+        return min(1.0, _SAMPLE_SIZE / self.count)
 
     @property
     def rank(self) -> int:
@@ -189,7 +193,8 @@
     def all_reachable(self) -> bool:
         """Whether each that may be serving was heard of late."""
         return (
-            self.has_gateway_list and self._census.heard == self._census.alive
+            self.has_gateway_list
+            and self._summary.reachable == self._summary.alive
         )
 
     def list_heartbeats(self) -> list[Heartbeat] | None:
@@ -201,12 +206,12 @@
         """
         if not self.all_reachable:
             return None
-        oldest_ms = self._clock.now() - _FORGET_MS
+        oldest_ms = self._clock.now() - _FORGET_AFTER_MS
         return [
             peer.heartbeat
             for peer in self._peers.values()
             if peer.heartbeat is not None
-            and peer.seen_ms >= oldest_ms
+            and peer.last_seen_ms >= oldest_ms
             and not peer.has_stopped
         ]
 
@@ -224,7 +229,7 @@
         0.5
 
         """
-        return (self._census.heard + 1) / self.count
+        return (self._summary.reachable + 1) / self.count
 
     @property
     def is_follower(self) -> bool:
@@ -235,22 +240,22 @@
         All work it out alike from whom they hear, in an order by key, which
         has nothing to do with halls: a hall may be lost as one.
         """
-        return self._census.before < _FOLLOWERS
+        return self._summary.followers_before < _FOLLOWER_COUNT
 
     @property
     def permit_issuers(self) -> tuple[str, ...]:
         """The others that are heard and give permits."""
-        return self._census.permit_issuers
+        return self._summary.permit_issuers
 
     @property
     def has_newcomer(self) -> bool:
         """Whether some other gateway has just started."""
-        return self._census.has_newcomer
+        return self._summary.has_newcomer
 
     @property
     def has_serving_peer(self) -> bool:
         """Whether some other gateway that is heard is not about to stop."""
-        return self._census.has_serving_peer
+        return self._summary.has_serving_peer
 
     def address_of(self, name: str) -> str:
         """Give where a gateway listens, empty if it is not known."""
@@ -260,10 +265,10 @@
     def apply_rows(self, rows: Iterable[tuple[str, str]]) -> None:
         """Take names and addresses from the store; no address: it is gone."""
         self.has_gateway_list = True
-        self._counted = None
+        self._cached_summary = None
         for name, address in rows:
             if name != self.name:
-                self._take_row(name, address)
+                self._apply_row(name, address)
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> bool:
         """Take a heartbeat; tell whether it says anything new.
@@ -281,15 +286,15 @@
         if is_same_life and last and heartbeat.sequence <= last.sequence:
             return False
         peer.heartbeat = heartbeat
-        peer.seen_ms = self._clock.now()
-        peer.count_loads(
-            self.loads, {} if peer.has_stopped else heartbeat.loads
+        peer.last_seen_ms = self._clock.now()
+        peer.update_load_totals(
+            self.load_totals, {} if peer.has_stopped else heartbeat.loads
         )
         is_other = (
             last and last.is_store_unreachable != heartbeat.is_store_unreachable
         )
         if not is_same_life or is_other or peer.is_silent or peer.has_stopped:
-            self._counted = None
+            self._cached_summary = None
         if peer.is_silent:
             peer.is_silent = False
             _logger.info('gateway heard', extra={'peer': peer.name})
@@ -306,63 +311,74 @@
         for peer in self._peers.values():
             if peer.address != address:
                 continue
-            if not peer.unread_ms:
-                self._counted = None
+            if not peer.undecodable_ms:
+                self._cached_summary = None
                 _logger.warning(
                     'gateway not understood', extra={'peer': peer.name}
                 )
-            peer.unread_ms = self._clock.now()
+            peer.undecodable_ms = self._clock.now()
 
     def record_silent_peers(self) -> None:
         """Note and log who has fallen silent."""
         for peer in self._peers.values():
             if self._is_silent(peer) and not peer.is_silent:
                 peer.is_silent = True
-                self._counted = None
-                peer.count_loads(self.loads, {})
+                self._cached_summary = None
+                peer.update_load_totals(self.load_totals, {})
                 _logger.warning(
                     'gateway silent',
                     extra={
                         'peer': peer.name,
-                        'silent_ms': self._clock.now() - peer.seen_ms,
+                        'silent_ms': self._clock.now() - peer.last_seen_ms,
                     },
                 )
 
     @property
-    def _census(self) -> PeerSummary:
+    def _summary(self) -> PeerSummary:
         """Who is there, counted a moment ago at the most."""
         now_ms = self._clock.now()
-        if self._counted is None or now_ms >= self._counted.at_ms + _COUNTED_MS:
-            self._counted = self._count(now_ms)
-        return self._counted
-
-    def _count(self, now_ms: int) -> PeerSummary:
-        oldest_ms = now_ms - _FORGET_MS
+        if (
+            self._cached_summary is None
+            or now_ms >= self._cached_summary.at_ms + _SUMMARY_MAX_AGE_MS
+        ):
+            self._cached_summary = self._summarize(now_ms)
+        return self._cached_summary
+
+    def _summarize(self, now_ms: int) -> PeerSummary:
+        oldest_ms = now_ms - _FORGET_AFTER_MS
         alive = [
             peer
             for peer in self._peers.values()
-            if max(peer.seen_ms, peer.unread_ms) >= oldest_ms
+            if max(peer.last_seen_ms, peer.undecodable_ms) >= oldest_ms
             and not peer.has_stopped
         ]
-        silent_ms = _SILENT_BEATS * compute_heartbeat_interval_ms(
+        silent_ms = _SILENT_INTERVALS * compute_heartbeat_interval_ms(
             len(alive) + 1
         )
-        heard = [
+        reachable = [
             peer.heartbeat
             for peer in alive
-            if peer.heartbeat is not None and peer.seen_ms >= now_ms - silent_ms
+            if peer.heartbeat is not None
+            and peer.last_seen_ms >= now_ms - silent_ms
         ]
         return PeerSummary(
             now_ms,
             len(alive),
-            len(heard),
-            any(not told.is_stopping for told in heard),
-            any(told.uptime_ms < _YOUNG_MS for told in heard),
-            sum(_is_before(told, self.name) for told in heard),
-            tuple(told.name for told in heard if told.issues_permits),
+            len(reachable),
+            any(not heartbeat.is_stopping for heartbeat in reachable),
+            any(
+                heartbeat.uptime_ms < _NEWCOMER_UPTIME_MS
+                for heartbeat in reachable
+            ),
+            sum(_precedes(heartbeat, self.name) for heartbeat in reachable),
+            tuple(
+                heartbeat.name
+                for heartbeat in reachable
+                if heartbeat.issues_permits
+            ),
         )
 
-    def _take_row(self, name: str, address: str) -> None:
+    def _apply_row(self, name: str, address: str) -> None:
         known = self._peers.get(name)
         if address and known is not None:
             known.address = address
@@ -370,18 +386,18 @@
             self._peers[name] = Peer(name, address, self._clock.now())
             _logger.info('gateway known', extra={'peer': name})
         elif known is not None:
-            known.count_loads(self.loads, {})
+            known.update_load_totals(self.load_totals, {})
             self._peers.pop(name)
             _logger.info('gateway gone', extra={'peer': name})
 
     def _is_silent(self, peer: Peer) -> bool:
         if peer.heartbeat is None:
             return True
-        silent_ms = self._clock.now() - peer.seen_ms
-        return silent_ms > _SILENT_BEATS * self.heartbeat_interval_ms
+        silent_ms = self._clock.now() - peer.last_seen_ms
+        return silent_ms > _SILENT_INTERVALS * self.heartbeat_interval_ms
 
 
-def _is_before(told: Heartbeat, name: str) -> bool:
-    if told.is_stopping or told.is_store_unreachable:
+def _precedes(heartbeat: Heartbeat, name: str) -> bool:
+    if heartbeat.is_stopping or heartbeat.is_store_unreachable:
         return False
-    return hash_name(told.name) < hash_name(name)
+    return hash_name(heartbeat.name) < hash_name(name)
--- a/seampond/sharing/quotas.py
+++ b/seampond/sharing/quotas.py
@@ -14,17 +14,17 @@
 from seampond.sharing.peers import Peers
 
 # How far below zero the level may be for a request to be let in, and after.
-_BELOW_PART = 0.1
-_DEBT_PART = 0.55
-_LOW_PART = 0.25
+_MIN_LEVEL_FRACTION = 0.1
+_DEBT_FRACTION = 0.55
+_LOW_LEVEL_FRACTION = 0.25
 # Where all start at once nobody knows the levels, and an earlier life may have
 # left a whole debt.  What a start gives beyond the flow, from zero down to a
 # smaller debt, is less than what is left of the margin then; the whole debt
 # is allowed once a window has passed, or once the levels were told.
-_START_DEBT_PART = 0.3
-_URGENT_PART = 0.04
-_IN_A_BEAT_PART = 0.25
-_LONGEST_WAIT_MS = 10_000
+_STARTUP_DEBT_FRACTION = 0.3
+_URGENT_FRACTION = 0.04
+_INTERVAL_FRACTION = 0.25
+_MAX_WAIT_MS = 10_000
 
 
 class Quotas:
@@ -74,12 +74,12 @@
         # By key of the tenant, as in the heartbeats.
         self._buckets: dict[int, Bucket] = {}
         # What others gave before we had a bucket for it.
-        self._given: dict[int, float] = {}
+        self._early_grants: dict[int, float] = {}
         # The levels that an older gateway told us, and when.
-        self._taught: dict[int, int] = {}
-        self._taught_ms: int | None = None
+        self._received_levels: dict[int, int] = {}
+        self._levels_received_ms: int | None = None
         # By gateway and tenant: its incarnation and what it has given.
-        self._heard: dict[tuple[str, int], tuple[int, float]] = {}
+        self._last_reports: dict[tuple[str, int], tuple[int, float]] = {}
 
     @property
     def uptime_ms(self) -> int:
@@ -119,12 +119,12 @@
             0, or the milliseconds until there may be enough.
 
         """
-        bucket = self._filled(tenant)
+        bucket = self._refilled_bucket(tenant)
         level = bucket.level
         if not has_idle_slots:
-            level = min(level, bucket.plain)
+            level = min(level, bucket.base_level)
         wait_ms = self._wait_ms(bucket, level, units, rank)
-        bucket.fairness.note(rank, units, is_given=not wait_ms)
+        bucket.fairness.record(rank, units, is_granted=not wait_ms)
         if wait_ms:
             return wait_ms
         bucket.spend(self._clock.now(), units)
@@ -145,14 +145,14 @@
     def record_sent(self) -> None:
         """Note that all others were sent what we have spent."""
         for bucket in self._buckets.values():
-            bucket.told = bucket.spent
+            bucket.reported = bucket.spent
 
     def levels_for_newcomers(self) -> Mapping[int, int]:
         """Give the level of each bucket, where a new gateway needs them."""
-        if not self._knows_levels or not self._peers.has_newcomer:
+        if not self._has_fleet_levels or not self._peers.has_newcomer:
             return {}
         for bucket in self._buckets.values():
-            self._fill(bucket)
+            self._refill(bucket)
         return {
             key: math.floor(known.level) for key, known in self._buckets.items()
         }
@@ -160,23 +160,25 @@
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take what another gateway says it has given, and its levels."""
         if heartbeat.levels and self.uptime_ms < self.margin.window_ms:
-            self._take_levels(heartbeat.levels)
+            self._apply_levels(heartbeat.levels)
         for tenant, units in heartbeat.spent.items():
-            given = self._note_heard(heartbeat, tenant, units)
-            if not given:
+            granted = self._record_report(heartbeat, tenant, units)
+            if not granted:
                 continue
             bucket = self._buckets.get(tenant)
             if bucket is None:
-                self._given[tenant] = self._given.get(tenant, 0) + given
+                self._early_grants[tenant] = (
+                    self._early_grants.get(tenant, 0) + granted
+                )
             else:
-                self._fill(bucket)
-                bucket.take_given(self._clock.now(), given)
+                self._refill(bucket)
+                bucket.deduct(self._clock.now(), granted)
 
     @property
-    def _knows_levels(self) -> bool:
+    def _has_fleet_levels(self) -> bool:
         """Whether our levels are those of all gateways."""
         is_old = self.uptime_ms >= self.margin.window_ms
-        return is_old or self._taught_ms is not None
+        return is_old or self._levels_received_ms is not None
 
     def _is_urgent(self, bucket: Bucket) -> bool:
         """Whether the others should hear at once of what we have given.
@@ -188,18 +190,20 @@
         give between two heartbeats, the less each may leave untold the more
         there are, since all of them may do so at the same time.
         """
-        if bucket.is_ample(self._clock.now(), self.margin):
+        if bucket.has_ample_level(self._clock.now(), self.margin):
             return False
-        untold = bucket.spent - bucket.told
-        most = self.margin.units * _URGENT_PART
-        rate = self.margin.give_rate(bucket.tenant)
-        in_a_beat = rate * self._peers.heartbeat_interval_ms / MS_PER_SECOND
-        reserve = self.margin.give_reserve(bucket.tenant)
-        if in_a_beat > reserve * _IN_A_BEAT_PART:
-            most *= self._peers.sample_probability
-        return untold > most
-
-    def _take_levels(self, levels: Mapping[int, int]) -> None:
+        unreported = bucket.spent - bucket.reported
+        max_units = self.margin.units * _URGENT_FRACTION
+        rate = self.margin.max_rate(bucket.tenant)
+        interval_units = (
+            rate * self._peers.heartbeat_interval_ms / MS_PER_SECOND
+        )
+        reserve = self.margin.reserve(bucket.tenant)
+        if interval_units > reserve * _INTERVAL_FRACTION:
+            max_units *= self._peers.sample_probability
+        return unreported > max_units
+
+    def _apply_levels(self, levels: Mapping[int, int]) -> None:
         """Go on from the levels of a gateway that knows them.
 
         Explanation
@@ -207,34 +211,36 @@
         One that was frozen for a while has not heard what was given
         meanwhile, so the lowest that is told of each bucket counts.
         """
-        if self._taught_ms is not None:
+        if self._levels_received_ms is not None:
             for key, level in levels.items():
-                self._lower(key, level)
+                self._lower_level(key, level)
             return
-        self._taught = dict(levels)
-        self._taught_ms = self._clock.now()
-        self._given.clear()
+        self._received_levels = dict(levels)
+        self._levels_received_ms = self._clock.now()
+        self._early_grants.clear()
         for key, bucket in self._buckets.items():
-            self._fill(bucket)
+            self._refill(bucket)
             # What we have given may be unknown there.
             bucket.level = levels.get(key, bucket.level) - bucket.spent
 
-    def _lower(self, key: int, level: int) -> None:
+    def _lower_level(self, key: int, level: int) -> None:
         """Take another word on one level, if it is a lower one."""
         bucket = self._buckets.get(key)
         if bucket is None:
-            self._taught[key] = min(self._taught.get(key, level), level)
+            self._received_levels[key] = min(
+                self._received_levels.get(key, level), level
+            )
             return
-        self._fill(bucket)
+        self._refill(bucket)
         bucket.level = min(bucket.level, level)
 
-    def _note_heard(
+    def _record_report(
         self, heartbeat: Heartbeat, tenant: int, units: float
     ) -> float:
         """Give what the other has given since we heard it last."""
         key = (heartbeat.name, tenant)
-        known = self._heard.get(key)
-        self._heard[key] = (heartbeat.incarnation, units)
+        known = self._last_reports.get(key)
+        self._last_reports[key] = (heartbeat.incarnation, units)
         if known is None:
             # What it gave before we began counts for no bucket of ours.
             return units if heartbeat.uptime_ms <= self.uptime_ms else 0
@@ -245,59 +251,74 @@
         self, bucket: Bucket, level: float, units: float, rank: int
     ) -> int:
         """Give how long until there may be enough, 0 if there is now."""
-        missing = self._missing(level, units, 1)
-        kept = bucket.fairness.kept_from(rank)
-        most = bucket.tenant.burst + self.margin.units * self._debt_part
-        if 0 < kept <= most:
-            missing = max(missing, self._missing(level - units, kept, 1))
-        if rank and level < bucket.tenant.burst * _LOW_PART:
+        shortfall = self._shortfall(level, units, 1)
+        reserved = bucket.fairness.reserved_above(rank)
+        max_units = (
+            bucket.tenant.burst + self.margin.units * self._debt_fraction
+        )
+        if 0 < reserved <= max_units:
+            shortfall = max(
+                shortfall, self._shortfall(level - units, reserved, 1)
+            )
+        if rank and level < bucket.tenant.burst * _LOW_LEVEL_FRACTION:
             if self._rng.random() > 1 / (1 + rank):
-                missing = max(missing, bucket.tenant.burst * _LOW_PART - level)
-        rate = self.margin.give_rate(bucket.tenant)
+                shortfall = max(
+                    shortfall, bucket.tenant.burst * _LOW_LEVEL_FRACTION - level
+                )
+        rate = self.margin.max_rate(bucket.tenant)
         now_ms = self._clock.now()
-        missing = max(missing, units - bucket.left(now_ms, self.margin))
+        shortfall = max(
+            shortfall, units - bucket.remaining(now_ms, self.margin)
+        )
         if not self._peers.all_reachable:
-            part = self._peers.reachable_fraction
-            missing = max(
-                missing, self._missing(bucket.part_level, units, part)
+            reachable_fraction = self._peers.reachable_fraction
+            shortfall = max(
+                shortfall,
+                self._shortfall(
+                    bucket.partial_level, units, reachable_fraction
+                ),
             )
-            rate *= part
-        if missing <= 0:
+            rate *= reachable_fraction
+        if shortfall <= 0:
             return 0
-        wait_ms = round(missing / max(1.0, rate) * MS_PER_SECOND) + 1
-        return min(_LONGEST_WAIT_MS, wait_ms)
+        wait_ms = round(shortfall / max(1.0, rate) * MS_PER_SECOND) + 1
+        return min(_MAX_WAIT_MS, wait_ms)
 
-    def _missing(self, level: float, units: float, part: float) -> float:
+    def _shortfall(
+        self, level: float, units: float, reachable_fraction: float
+    ) -> float:
         """Give what a level lacks for a request, 0 or less for nothing."""
-        margin = self.margin.units * part
-        below = -margin * _BELOW_PART - level
+        margin = self.margin.units * reachable_fraction
+        below = -margin * _MIN_LEVEL_FRACTION - level
         # What the bucket never holds is let in by its debt alone.
-        debt = units - level - margin * self._debt_part
+        debt = units - level - margin * self._debt_fraction
         return max(below, debt)
 
     @property
-    def _debt_part(self) -> float:
+    def _debt_fraction(self) -> float:
         """The part of the margin's units that may be a debt just now."""
-        return _DEBT_PART if self._knows_levels else _START_DEBT_PART
+        return (
+            _DEBT_FRACTION if self._has_fleet_levels else _STARTUP_DEBT_FRACTION
+        )
 
-    def _filled(self, tenant: Tenant) -> Bucket:
+    def _refilled_bucket(self, tenant: Tenant) -> Bucket:
         key = hash_name(tenant.name)
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._make_bucket(tenant)
             self._buckets[key] = bucket
-        bucket.limit_by(tenant)
-        self._fill(bucket)
+        bucket.update_limits(tenant)
+        self._refill(bucket)
         return bucket
 
     def _make_bucket(self, tenant: Tenant) -> Bucket:
         key = hash_name(tenant.name)
         level: float = 0
         filled_ms = self._started_ms
-        if self._taught_ms is not None:
-            level = self._taught.get(key, level)
-            filled_ms = self._taught_ms
-        level -= self._given.pop(key, 0)
+        if self._levels_received_ms is not None:
+            level = self._received_levels.get(key, level)
+            filled_ms = self._levels_received_ms
+        level -= self._early_grants.pop(key, 0)
         return Bucket(
             tenant,
             filled_ms,
@@ -309,10 +330,10 @@
             self._peers.reachable_fraction,
         )
 
-    def _fill(self, bucket: Bucket) -> None:
-        bucket.fill(
+    def _refill(self, bucket: Bucket) -> None:
+        bucket.refill(
             self._clock.now(), self.margin, self._peers.reachable_fraction
         )
         if self._peers.all_reachable:
             # Should somebody fall silent, we go on from our part of this.
-            bucket.part_level = bucket.level
+            bucket.partial_level = bucket.level
--- a/seampond/sharing/tests/test_fairness.py
+++ b/seampond/sharing/tests/test_fairness.py
@@ -16,32 +16,32 @@
 
     def test_refused_urgent_work_is_kept_for(self) -> None:
         """Work of the same rank and above is not held up by it."""
-        self.fairness.note(1, 400, is_given=False)
+        self.fairness.record(1, 400, is_granted=False)
         self.assertEqual(
-            [self.fairness.kept_from(rank) for rank in range(4)],
+            [self.fairness.reserved_above(rank) for rank in range(4)],
             [0, 0, 400, 400],
         )
 
     def test_as_large_a_part_is_enough(self) -> None:
         """Urgent work that is served better than other work waits."""
-        self.fairness.note(0, 400, is_given=True)
-        self.fairness.note(0, 400, is_given=False)
-        self.fairness.note(2, 10, is_given=False)
-        self.assertEqual(self.fairness.kept_from(2), 0)
-        self.fairness.note(2, 10, is_given=True)
-        self.assertEqual(self.fairness.kept_from(2), 400)
+        self.fairness.record(0, 400, is_granted=True)
+        self.fairness.record(0, 400, is_granted=False)
+        self.fairness.record(2, 10, is_granted=False)
+        self.assertEqual(self.fairness.reserved_above(2), 0)
+        self.fairness.record(2, 10, is_granted=True)
+        self.assertEqual(self.fairness.reserved_above(2), 400)
 
     def test_who_asks_no_more_holds_nobody_up(self) -> None:
         """A refusal is forgotten after a second."""
-        self.fairness.note(0, 400, is_given=False)
+        self.fairness.record(0, 400, is_granted=False)
         self.clock.advance(1001)
-        self.assertEqual(self.fairness.kept_from(2), 0)
+        self.assertEqual(self.fairness.reserved_above(2), 0)
 
     def test_the_past_counts_for_less(self) -> None:
         """What was given long ago is no reason to refuse now."""
         for _ in range(8):
-            self.fairness.note(0, 400, is_given=True)
+            self.fairness.record(0, 400, is_granted=True)
         self.clock.advance(20_000)
-        self.fairness.note(0, 400, is_given=False)
-        self.fairness.note(2, 10, is_given=True)
-        self.assertEqual(self.fairness.kept_from(2), 400)
+        self.fairness.record(0, 400, is_granted=False)
+        self.fairness.record(2, 10, is_granted=True)
+        self.assertEqual(self.fairness.reserved_above(2), 400)
--- a/seampond/sharing/tests/test_loads.py
+++ b/seampond/sharing/tests/test_loads.py
@@ -55,4 +55,4 @@
 
     def read(self) -> dict[int, Load]:
         """Give the sums that were told anew."""
-        return self.peers.loads.pop_changed()
+        return self.peers.load_totals.pop_changed()
--- a/seampond/sharing/tests/test_quotas.py
+++ b/seampond/sharing/tests/test_quotas.py
@@ -241,7 +241,7 @@
         fleet.restart('g2')
         fleet.beat()
         told = fleet.quotas['g0'].levels_for_newcomers()
-        flowed = fleet.margin.give_rate(_TENANT) * _BEAT_MS / 1000
+        flowed = fleet.margin.max_rate(_TENANT) * _BEAT_MS / 1000
         risen = sum(told.values()) - sum(low.values())
         self.assertLessEqual(risen, flowed + 1)
 
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -25,13 +25,13 @@
 
 # Of the pause between two heartbeats, what lies at least between two that are
 # urgent.
-_LEAST_PART = 0.1
-_REGISTER_AGAIN_MS = 500
-_REMOVE_MS = 300
-_LAST_TIMES = 3
+_MIN_INTERVAL_FRACTION = 0.1
+_REGISTER_RETRY_MS = 500
+_UNREGISTER_TIMEOUT_MS = 300
+_FINAL_COPIES = 3
 # The first heartbeats of a gateway are answered at once.
-_NEWCOMER_MS = 400
-_LAST_SEQUENCE = 4_611_686_018_427_387_904
+_NEWCOMER_UPTIME_MS = 400
+_FINAL_SEQUENCE = 4_611_686_018_427_387_904
 _logger = logging.getLogger(__name__)
 
 
@@ -79,8 +79,8 @@
 class _Endpoint(asyncio.DatagramProtocol):
     """Where heartbeats come in and go out."""
 
-    def __init__(self, sharing: TransportContext) -> None:
-        self._sharing = sharing
+    def __init__(self, context: TransportContext) -> None:
+        self._context = context
         self._sequence = 0
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -92,27 +92,30 @@
 
     def datagram_received(self, packet: bytes, addr: tuple[str, int]) -> None:
         """Take one heartbeat; answer one that has just started."""
-        sharing = self._sharing
+        context = self._context
         if is_permit_message(packet):
-            self._take_permit(packet, addr[0])
+            self._handle_permit(packet, addr[0])
             return
         try:
             heartbeat = decode(packet, peer=addr[0])
         except ForeignMessageError:
-            sharing.count_dropped('heartbeat')
-            sharing.peers.record_undecodable(f'{addr[0]}:{addr[1]}')
+            context.count_dropped('heartbeat')
+            context.peers.record_undecodable(f'{addr[0]}:{addr[1]}')
             return
-        if not sharing.peers.apply_heartbeat(heartbeat):
+        if not context.peers.apply_heartbeat(heartbeat):
             return
-        sharing.apply_heartbeat(heartbeat)
-        if heartbeat.uptime_ms < _NEWCOMER_MS and not heartbeat.has_stopped:
-            self._greet(heartbeat.name)
+        context.apply_heartbeat(heartbeat)
+        if (
+            heartbeat.uptime_ms < _NEWCOMER_UPTIME_MS
+            and not heartbeat.has_stopped
+        ):
+            self._reply_to_newcomer(heartbeat.name)
 
     def send_permit(
         self, name: str, message: PermitRequest | PermitReply
     ) -> None:
         """Send one gateway what it asks or is asked for."""
-        address = self._sharing.peers.address_of(name)
+        address = self._context.peers.address_of(name)
         if self._transport is None or not address:
             return
         host, _, port = address.rpartition(':')
@@ -120,10 +123,10 @@
 
     def send_to_all(self) -> None:
         """Send a heartbeat to all others."""
-        sharing = self._sharing
-        told = sharing.make_heartbeat(self._next_sequence())
-        sharing.record_sent()
-        self._send(told, sharing.peers.addresses)
+        context = self._context
+        heartbeat = context.make_heartbeat(self._next_sequence())
+        context.record_sent()
+        self._send(heartbeat, context.peers.addresses)
 
     def send_final(self) -> None:
         """Send the last word of this life.
@@ -132,12 +135,14 @@
         -----------
         Datagrams may be lost; who hears none of these waits for the row.
         """
-        sharing = self._sharing
-        last = replace(sharing.make_heartbeat(_LAST_SEQUENCE), has_stopped=True)
-        for _ in range(_LAST_TIMES):
-            self._send(last, sharing.peers.addresses)
-
-    def _greet(self, name: str) -> None:
+        context = self._context
+        last = replace(
+            context.make_heartbeat(_FINAL_SEQUENCE), has_stopped=True
+        )
+        for _ in range(_FINAL_COPIES):
+            self._send(last, context.peers.addresses)
+
+    def _reply_to_newcomer(self, name: str) -> None:
         """Tell one that has just started what it waits for: the levels.
 
         Explanation
@@ -145,19 +150,19 @@
         A few answers are enough, and go to nobody else: an answer of each to
         all would be as many datagrams as there are pairs of gateways.
         """
-        peers = self._sharing.peers
+        peers = self._context.peers
         if random.random() < peers.sample_probability:
-            told = self._sharing.make_heartbeat(self._next_sequence())
-            self._send(told, [peers.address_of(name)])
+            heartbeat = self._context.make_heartbeat(self._next_sequence())
+            self._send(heartbeat, [peers.address_of(name)])
 
-    def _take_permit(self, packet: bytes, peer: str) -> None:
+    def _handle_permit(self, packet: bytes, peer: str) -> None:
         try:
             message = decode_permit(packet, peer=peer)
         except ForeignMessageError:
-            self._sharing.count_dropped('permit')
+            self._context.count_dropped('permit')
             return
-        if message.name in self._sharing.peers.names:
-            self._sharing.handle_permit(message)
+        if message.name in self._context.peers.names:
+            self._context.handle_permit(message)
 
     def _next_sequence(self) -> int:
         self._sequence += 1
@@ -210,7 +215,7 @@
             await writer.put(peers.name, content)
         except PlatformError as error:
             _logger.warning('not registered', extra={'reason': error.message})
-            await clock.sleep(_REGISTER_AGAIN_MS)
+            await clock.sleep(_REGISTER_RETRY_MS)
         else:
             # A restore of the store from an older copy may lose it.
             await peers.registration_lost.wait()
@@ -225,30 +230,30 @@
     next life has written its own.
     """
     with suppress(PlatformError, TimeoutError):
-        async with asyncio.timeout(_REMOVE_MS / MS_PER_SECOND):
+        async with asyncio.timeout(_UNREGISTER_TIMEOUT_MS / MS_PER_SECOND):
             await writer.remove(peers.name, peers.registration_version)
 
 
 async def _send_heartbeats(
-    sharing: TransportContext, endpoint: _Endpoint
+    context: TransportContext, endpoint: _Endpoint
 ) -> None:
     while True:
         endpoint.send_to_all()
-        sharing.peers.record_silent_peers()
-        heartbeat_interval_ms = sharing.peers.heartbeat_interval_ms
-        least_ms = heartbeat_interval_ms * _LEAST_PART
-        await sharing.clock.sleep(least_ms)
+        context.peers.record_silent_peers()
+        heartbeat_interval_ms = context.peers.heartbeat_interval_ms
+        min_pause_ms = heartbeat_interval_ms * _MIN_INTERVAL_FRACTION
+        await context.clock.sleep(min_pause_ms)
         with suppress(TimeoutError):
             async with asyncio.timeout(
-                (heartbeat_interval_ms - least_ms) / MS_PER_SECOND
+                (heartbeat_interval_ms - min_pause_ms) / MS_PER_SECOND
             ):
-                await sharing.heartbeat_requested.wait()
-        sharing.heartbeat_requested.clear()
+                await context.heartbeat_requested.wait()
+        context.heartbeat_requested.clear()
 
 
 @asynccontextmanager
 async def exchange_heartbeats(
-    address: str, sharing: TransportContext
+    address: str, context: TransportContext
 ) -> AsyncIterator[Callable[[str, PermitRequest | PermitReply], None]]:
     """Exchange heartbeats until the end of the `with`.
 
@@ -261,10 +266,10 @@
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
     transport, endpoint = await loop.create_datagram_endpoint(
-        lambda: _Endpoint(sharing), local_addr=(host, int(port))
+        lambda: _Endpoint(context), local_addr=(host, int(port))
     )
     try:
-        async with run_tasks(_send_heartbeats(sharing, endpoint)):
+        async with run_tasks(_send_heartbeats(context, endpoint)):
             yield endpoint.send_permit
         endpoint.send_final()
     finally:
--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -192,7 +192,7 @@
 
 
 @dataclass
-class Demand:
+class SentRequest:
     """A request of a caller: when it was sent and how it ended, 0 for a cut.
 
     Parameters
@@ -224,7 +224,7 @@
     clock: Clock
     servers: list[CrashingServer] = field(default_factory=list)
     sent: list[Sent] = field(default_factory=list)
-    asked: list[Demand] = field(default_factory=list)
+    asked: list[SentRequest] = field(default_factory=list)
     deadly: Callable[[bytes], bool] = CRASHING_BODY.__eq__
     patience_ms: int = 1500
     _client: aiosonic.HTTPClient = field(
@@ -261,7 +261,7 @@
     async def ask(self, address: str, body: bytes) -> int:
         """Send a request as a caller; give the status, 0 if it was cut."""
         request_id = f'r{next(self._ids)}'
-        asked = Demand(self.clock.now(), body, address, request_id)
+        asked = SentRequest(self.clock.now(), body, address, request_id)
         self.asked.append(asked)
         headers = {
             'Host': HOST,
--- a/seampond/watches/freshness.py
+++ b/seampond/watches/freshness.py
@@ -12,7 +12,7 @@
 
 # Four gateways follow the store and tell a proof with each heartbeat, 13 a
 # second at their usual pace: these are of the last two seconds.
-_HELD_PROOFS = 32
+_MAX_PENDING_PROOFS = 32
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,9 @@
         self._behind_since_ms = 0
         self._behind_event = asyncio.Event()
         # Proofs of changes that we did not hold yet, the latest last.
-        self._pending_proofs: deque[FreshnessProof] = deque(maxlen=_HELD_PROOFS)
+        self._pending_proofs: deque[FreshnessProof] = deque(
+            maxlen=_MAX_PENDING_PROOFS
+        )
 
     @property
     def is_behind(self) -> bool:
@@ -205,15 +207,15 @@
         Rows that are written again and again are never held in the version
         that was told last; without these nothing would be proved meanwhile.
         """
-        held = [
+        confirmed = [
             proof
             for proof in self._pending_proofs
             if proof.latest_change <= self.version
         ]
-        for proof in held:
+        for proof in confirmed:
             self._pending_proofs.remove(proof)
             self.apply_proof(proof)
-        return bool(held)
+        return bool(confirmed)
 
     def _prove(self, proof: FreshnessProof) -> None:
         if self.proof is not None and proof.store_ms <= self.proof.store_ms:
--- a/seampond/watches/probe.py
+++ b/seampond/watches/probe.py
@@ -6,13 +6,13 @@
 from seampond.clock import Clock
 from seampond.watches.watch import Watch
 
-_STEP_MS = 100
-_MOST_STEPS = 8
-_AGAIN_MS = 300
+_RANK_STEP_MS = 100
+_MAX_RANK_STEPS = 8
+_RETRY_PAUSE_MS = 300
 # Longer than a feed that gathers changes may be late.
-_BEHIND_MS = 400
+_MAX_BEHIND_MS = 400
 # Who does not follow has no feed to wait for; not all ask at one moment.
-_SPREAD_MS = 100
+_MAX_JITTER_MS = 100
 
 
 async def probe_when_stale(
@@ -37,15 +37,15 @@
     """
     freshness = watch.freshness
     while True:
-        steps = min(_MOST_STEPS, rank())
-        max_behind_ms = _BEHIND_MS
+        steps = min(_MAX_RANK_STEPS, rank())
+        max_behind_ms = _MAX_BEHIND_MS
         if not watch.is_follower():
-            max_behind_ms = random.randrange(_SPREAD_MS)
+            max_behind_ms = random.randrange(_MAX_JITTER_MS)
         next_probe_ms = freshness.next_probe_ms(
-            max_age_ms + steps * _STEP_MS, max_behind_ms
+            max_age_ms + steps * _RANK_STEP_MS, max_behind_ms
         )
         left_ms = next_probe_ms - clock.now()
         if left_ms > 0:
             await freshness.wait_until_behind(left_ms)
         elif not await watch.probe():
-            await clock.sleep(_AGAIN_MS * random.uniform(0.5, 1))
+            await clock.sleep(_RETRY_PAUSE_MS * random.uniform(0.5, 1))
--- a/seampond/watches/watch.py
+++ b/seampond/watches/watch.py
@@ -17,28 +17,28 @@
     revision_of,
 )
 
-_FIRST_PAUSE_MS = 100
+_MIN_RETRY_PAUSE_MS = 100
 # How long who need not follow waits until it looks again, and how long after a
 # start nobody can know yet who follows.
-_IDLE_MS = 500
-_SETTLE_MS = 1000
+_IDLE_POLL_MS = 500
+_STARTUP_DELAY_MS = 1000
 # A process that the store turns away, while others prove to it that nothing
 # has changed, has little to gain from asking: six such of 18 made half of all
 # calls of a day.
-_PROVED_MS = 2500
-_PROVED_PAUSE_MS = 3000
+_RECENT_PROOF_MS = 2500
+_PROVED_RETRY_PAUSE_MS = 3000
 # A feed tells each change since the version that is held, a whole read each row
 # once.  After a cut of 12 s of a table of one row, written some 35 times, a
 # feed's answer had not ended after 0.9 s and 0.5 MB; a read took 0.04 s.
-_CATCH_UP_MS = 2000
-_FEW_ROWS = 100
+_SNAPSHOT_AFTER_MS = 2000
+_SMALL_TABLE_ROWS = 100
 # Of a table of so few rows a whole read tells no more than a feed does, and
 # versions that are written faster than a link carries them make each answer of
 # a feed longer than the one before: rows of 420 KB, written each 0.3 s, were
 # held up to 3.8 s after they were written over 5 Mbit/s, 1.6 s now (the worst
 # in 40 s of virtual time, test_narrow_links.py).
-_VERY_FEW_ROWS = 4
-_HEAVY_MS = 250
+_TINY_TABLE_ROWS = 4
+_SLOW_TRANSFER_MS = 250
 _logger = logging.getLogger(__name__)
 
 
@@ -47,12 +47,12 @@
     return True
 
 
-def _not_longer() -> float:
+def _unscaled() -> float:
     """Ask as often as if there were few."""
     return 1
 
 
-def _tell_nobody(since: int, page: Page) -> None:
+def _ignore_page(since: int, page: Page) -> None:
     """Pass nothing on."""
 
 
@@ -99,22 +99,22 @@
     freshness: TableFreshness
     max_retry_pause_ms: int = 600
     batch_pause_ms: int = 0
-    interval_factor: Callable[[], float] = _not_longer
+    interval_factor: Callable[[], float] = _unscaled
     is_follower: Callable[[], bool] = _always
     confirms_snapshot: bool = True
-    relay: Callable[[int, Page], None] = _tell_nobody
-    is_current: bool = False
+    relay: Callable[[int, Page], None] = _ignore_page
+    is_loaded: bool = False
     is_unconfirmed: bool = False
-    _call: asyncio.Timeout | None = None
+    _feed_timeout: asyncio.Timeout | None = None
     _is_suspect: bool = False
     _is_failing: bool = False
     # Set where asking for the same changes again cannot succeed.
-    _needs_whole: bool = False
+    _needs_snapshot: bool = False
     # Set while rows are written faster than a feed's answers come.
-    _is_flooded: bool = False
+    _is_overloaded: bool = False
     # Whether the newest rows were long on their way.
-    _is_heavy: bool = False
-    _rows: int = 0
+    _is_slow_transfer: bool = False
+    _row_count: int = 0
     _failures: FailureLog = field(init=False)
 
     def __post_init__(self) -> None:
@@ -130,26 +130,26 @@
 
     async def run(self) -> None:
         """Follow the table; never ends by itself."""
-        pause_ms = _FIRST_PAUSE_MS
+        pause_ms = _MIN_RETRY_PAUSE_MS
         while True:
             await self._wait_for_turn()
             try:
-                is_fresh = await self._step()
+                is_fresh = await self._poll()
                 self._is_failing = False
                 self._failures.record_success()
             except HistoryGoneError:
                 self._log_event('history gone', 'read-changes')
-                self.is_current = False
+                self.is_loaded = False
                 continue
             except PlatformError as error:
                 self._record_failure(error)
                 self._is_failing = True
                 is_fresh = False
             if is_fresh:
-                pause_ms = _FIRST_PAUSE_MS
+                pause_ms = _MIN_RETRY_PAUSE_MS
                 continue
             await self._pause(pause_ms * random.uniform(0.5, 1))
-            pause_ms = min(self._longest_pause_ms, pause_ms * 2)
+            pause_ms = min(self._max_pause_ms, pause_ms * 2)
 
     async def probe(self) -> bool:
         """Make one call beside the feed; tell whether its answer was taken.
@@ -160,11 +160,11 @@
         Nor while it reads one large version after another, for which a second
         reader would leave half of the link.
         """
-        if self._is_failing or self._is_flooded or not self.is_current:
+        if self._is_failing or self._is_overloaded or not self.is_loaded:
             return False
         since = self.freshness.version
         try:
-            page = await self._read_beside()
+            page = await self._read_probe()
             is_fresh = self._accept(page, since)
         except PlatformError as error:
             self._record_failure(error)
@@ -176,7 +176,7 @@
         self._failures.record_success()
         if self._is_suspect:
             self._is_suspect = False
-            self._give_call_up()
+            self._cancel_poll()
         return is_fresh
 
     def apply_relayed(self, since: int, page: Page) -> None:
@@ -188,10 +188,10 @@
         may be missing, and what it proves makes us ask.
         """
         version = self.freshness.version
-        if not self.is_current or not since <= version < page.version:
+        if not self.is_loaded or not since <= version < page.version:
             return
-        self.is_current = self._is_taken(page)
-        if self.is_current:
+        self.is_loaded = self._try_apply(page)
+        if self.is_loaded:
             self.freshness.apply_page(page)
 
     async def _wait_for_turn(self) -> None:
@@ -204,39 +204,39 @@
         told what the first few had been told already.
         """
         if self.is_unconfirmed and not self.confirms_snapshot:
-            await self.clock.sleep(_SETTLE_MS)
+            await self.clock.sleep(_STARTUP_DELAY_MS)
             self.is_unconfirmed = False
-        while not self._has_to_ask:
-            await self.clock.sleep(_IDLE_MS)
+        while not self._should_poll:
+            await self.clock.sleep(_IDLE_POLL_MS)
 
     @property
-    def _has_to_ask(self) -> bool:
-        if self.is_unconfirmed or self._is_failing or not self.is_current:
+    def _should_poll(self) -> bool:
+        if self.is_unconfirmed or self._is_failing or not self.is_loaded:
             return True
-        return self._is_flooded or self.is_follower()
+        return self._is_overloaded or self.is_follower()
 
-    async def _step(self) -> bool:
+    async def _poll(self) -> bool:
         """Make one call; tell whether its answer was fresh."""
-        self._call = asyncio.timeout(None)
+        self._feed_timeout = asyncio.timeout(None)
         since = self.freshness.version
         try:
-            async with self._call:
+            async with self._feed_timeout:
                 page = await self._read(self.source, self._wait_ms)
         except TimeoutError as error:
             raise PlatformError('given up', step='read-changes') from error
         finally:
-            self._call = None
+            self._feed_timeout = None
         is_fresh = self._accept(page, since)
         if is_fresh and page.rows and not page.is_snapshot:
             await self.clock.sleep(self.batch_pause_ms)
         return is_fresh
 
     async def _read(self, source: TableSource, wait_ms: int) -> Page:
-        if not self.is_current or self._is_far_behind:
+        if not self.is_loaded or self._prefers_snapshot:
             return await source.read_all()
         return await source.read_changes(self.freshness.version, wait_ms)
 
-    async def _read_beside(self) -> Page:
+    async def _read_probe(self) -> Page:
         """Read beside the feed, without waiting.
 
         Explanation
@@ -245,8 +245,8 @@
         datagram, and so may be what has been written since; and where the
         versions of a large row come slowly, nobody may have told for long.
         """
-        is_large = self.freshness.is_behind or self._is_heavy
-        if is_large and self._rows <= _VERY_FEW_ROWS:
+        is_large = self.freshness.is_behind or self._is_slow_transfer
+        if is_large and self._row_count <= _TINY_TABLE_ROWS:
             return await self.probe_source.read_all()
         return await self._read(self.probe_source, 0)
 
@@ -262,21 +262,21 @@
         return 0 if self.is_unconfirmed or self._is_failing else self.wait_ms
 
     @property
-    def _is_far_behind(self) -> bool:
+    def _prefers_snapshot(self) -> bool:
         """Whether all changes since what we hold may be too much for a call.
 
         Explanation
         -----------
         The longer we are behind the more a feed has to tell.
         """
-        if self._needs_whole or self._is_flooded:
+        if self._needs_snapshot or self._is_overloaded:
             return True
-        is_small = self._rows <= _FEW_ROWS
-        is_long = self.freshness.behind_ms > _CATCH_UP_MS
+        is_small = self._row_count <= _SMALL_TABLE_ROWS
+        is_long = self.freshness.behind_ms > _SNAPSHOT_AFTER_MS
         return self._is_failing and is_small and is_long
 
     @property
-    def _longest_pause_ms(self) -> int:
+    def _max_pause_ms(self) -> int:
         """The longest pause between two calls that fail just now.
 
         Explanation
@@ -286,67 +286,69 @@
         """
         longest_ms = round(self.max_retry_pause_ms * self.interval_factor())
         if self._is_proved_by_others:
-            return max(longest_ms, _PROVED_PAUSE_MS)
-        return min(longest_ms, _PROVED_PAUSE_MS)
+            return max(longest_ms, _PROVED_RETRY_PAUSE_MS)
+        return min(longest_ms, _PROVED_RETRY_PAUSE_MS)
 
     @property
     def _is_proved_by_others(self) -> bool:
         """Whether others prove that nothing is missing while our calls fail."""
         age_ms = self.clock.now() - self.freshness.proved_ms
-        return not self.freshness.is_behind and age_ms < _PROVED_MS
+        return not self.freshness.is_behind and age_ms < _RECENT_PROOF_MS
 
     async def _pause(self, pause_ms: float) -> None:
         """Wait after a failed call; no longer, should a change be missing."""
         if self._is_proved_by_others:
             await self.freshness.wait_until_behind(round(pause_ms))
         else:
-            await self.clock.sleep(min(pause_ms, self._longest_pause_ms))
+            await self.clock.sleep(min(pause_ms, self._max_pause_ms))
 
     def _record_failure(self, error: PlatformError) -> None:
         """Note a failed call, and whether the same one can succeed at all."""
         self._failures.record_failure(error)
         if isinstance(error, (CutAnswerError, HistoryGoneError)):
-            self._needs_whole = True
+            self._needs_snapshot = True
 
-    def _give_call_up(self) -> None:
+    def _cancel_poll(self) -> None:
         """End the call that is under way, if there is any."""
-        if self._call is not None:
-            self._call.reschedule(asyncio.get_running_loop().time())
+        if self._feed_timeout is not None:
+            self._feed_timeout.reschedule(asyncio.get_running_loop().time())
 
     def _accept(self, page: Page, since: int) -> bool:
         """Take an answer unless it is old; tell whether it was fresh."""
-        is_news = not page.is_snapshot and not self.freshness.is_behind
+        is_new_change = not page.is_snapshot and not self.freshness.is_behind
         self.freshness.check(page)
         if page.version < self.freshness.version:
             self._log_event('stale answer', str(page.version))
-            self._needs_whole = False
+            self._needs_snapshot = False
             return False
         self._record_size(page, since)
-        self.is_current = self._is_taken(page)
-        if self.is_current:
+        self.is_loaded = self._try_apply(page)
+        if self.is_loaded:
             is_proved = self.freshness.apply_page(page)
             self.is_unconfirmed = page.is_snapshot and not is_proved
-            if is_news:
+            if is_new_change:
                 self.relay(since, page)
-        return self.is_current
+        return self.is_loaded
 
     def _record_size(self, page: Page, since: int) -> None:
         """Note that an answer came to its end, and how large the table is."""
-        self._needs_whole = False
+        self._needs_snapshot = False
         if page.is_snapshot:
-            self._rows = len(page.rows)
+            self._row_count = len(page.rows)
             newest = max((row.version for row in page.rows), default=0)
-            is_flooded = self._is_flooded and newest > since
+            is_overloaded = self._is_overloaded and newest > since
         else:
             keys = {row.key for row in page.rows}
-            is_flooded = len(keys) < len(page.rows)
+            is_overloaded = len(keys) < len(page.rows)
         if page.rows:
             transfer_ms = self.freshness.transfer_ms(page)
-            self._is_heavy = transfer_ms > _HEAVY_MS
-        is_small = self._rows <= _VERY_FEW_ROWS
-        self._is_flooded = is_flooded and self._is_heavy and is_small
+            self._is_slow_transfer = transfer_ms > _SLOW_TRANSFER_MS
+        is_small = self._row_count <= _TINY_TABLE_ROWS
+        self._is_overloaded = (
+            is_overloaded and self._is_slow_transfer and is_small
+        )
 
-    def _is_taken(self, page: Page) -> bool:
+    def _try_apply(self, page: Page) -> bool:
         """Hand an answer on; a fault there must not end the watch."""
         try:
             self.apply(page)
