--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -78,7 +78,7 @@
             (
                 self.configuration_state.configuration is not None,
                 self.server_follower.is_loaded,
-                self.rollout_follower.rollouts.is_known,
+                self.rollout_follower.rollouts.is_ready,
                 self.quarantine.trials.is_loaded,
             )
         )
@@ -110,7 +110,7 @@
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take what another gateway has told."""
         self.quotas.apply_heartbeat(heartbeat)
-        self.rollout_follower.rollouts.take_reports(
+        self.rollout_follower.rollouts.apply_reports(
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
         self.quarantine.apply_reports(heartbeat.crashes, heartbeat.successes)
@@ -156,7 +156,7 @@
             levels=self.quotas.levels_for_newcomers(),
             is_store_unreachable=self.is_store_unreachable,
             pages=tuple(self._pages),
-            rollouts=self.rollout_follower.rollouts.make_reports(),
+            rollouts=self.rollout_follower.rollouts.build_reports(),
             crashes=tuple(self.quarantine.suspects.list_crash_reports()),
             successes=self.quarantine.suspects.list_cleared(),
             limit_reports=self.permit_manager.collect_reports(),
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -65,8 +65,8 @@
         gone = [pool_name(row) for row in latest.values() if row.is_deleted]
         if page.is_snapshot:
             listed = set(map(pool_name, latest.values()))
-            gone.extend(set(self.rollouts.ordered) - listed)
-        self.rollouts.take_orders(
+            gone.extend(set(self.rollouts.pools_with_order) - listed)
+        self.rollouts.apply_orders(
             orders, gone, self._clock.now(), is_start=self._is_start
         )
         self._is_start = False
@@ -78,8 +78,8 @@
         statuses = [row for row in latest.values() if is_status_row(row)]
         steps = [row for row in latest.values() if is_step_row(row)]
         # A row that is not there any more is one that nothing rests on.
-        lacking = self.rollouts.told if page.is_snapshot else ()
-        self.rollouts.take_states(
+        lacking = self.rollouts.pools_with_state if page.is_snapshot else ()
+        self.rollouts.apply_states(
             dict.fromkeys(lacking)
             | {pool_name(row): None for row in statuses}
             | dict(_read_named(statuses, parse_status)),
@@ -91,7 +91,7 @@
         self._update_active()
 
     def _update_active(self) -> None:
-        if self.rollouts.is_wanted:
+        if self.rollouts.has_running:
             self.is_active.set()
         else:
             self.is_active.clear()
@@ -147,7 +147,7 @@
         if before != _list_stages(rollouts):
             notify_peers()
         now_ms = clock.now()
-        changes = rollouts.list_changes(now_ms)
+        changes = rollouts.plan_changes(now_ms)
         since_ms = {change: since_ms.get(change, now_ms) for change in changes}
         wait_ms = min(_MOST_RANKS, rank()) * _RANK_MS
         due = [
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_versions.py
@@ -26,7 +26,7 @@
     build_server,
     pick,
 )
-from seampond.testing.rollouts import NEW, OLD, build_order, build_places
+from seampond.testing.rollouts import NEW, OLD, build_order, build_stub_backends
 
 _USUAL_MS = 20
 _SEEN_MS = (63, 63, 58, 44, 62, 62)
@@ -50,7 +50,7 @@
             list,
             hash_name,
         )
-        rollouts.take_orders([build_order()], [], 1000, is_start=False)
+        rollouts.apply_orders([build_order()], [], 1000, is_start=False)
         earlier = pick(backends, 'i-1')
         earlier.record_dispatch()
         self.assertEqual(rollouts.count_open_old(POOL), 1)
@@ -71,11 +71,11 @@
     def setUp(self) -> None:
         """Know no answer yet."""
         self.clock = ManualClock(1000)
-        places = build_places()
+        backends = build_stub_backends()
         rollouts = RolloutManager(
             ExposureLimits(0.1, 50),
             lambda: 1,
-            lambda pool: places,
+            lambda pool: backends,
             lambda pool: True,
             list,
             hash_name,
@@ -97,7 +97,7 @@
         for _ in range(40):
             self.answer(route, OLD, _USUAL_MS)
         rollouts = self.versions.rollouts
-        rollouts.take_orders([build_order()], [], 1000, is_start=False)
+        rollouts.apply_orders([build_order()], [], 1000, is_start=False)
         for took_ms in seen_ms:
             self.answer(route, NEW, took_ms)
         told: Tally = rollouts.running[0].evidence.new_answers
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -38,11 +38,15 @@
         """Give the servers to look at, those that come first before others."""
         is_fresh = not (job.attempts or job.has_streamed or job.last_event)
         draw = self.rng.random() if is_fresh else None
-        return self.rollouts.group(job.pool, known, self.clock.now(), draw)
+        return self.rollouts.group_backends(
+            job.pool, known, self.clock.now(), draw
+        )
 
     def record_placement(self, backend: Backend) -> None:
         """Count a request against what may be exposed."""
-        self.rollouts.note_placed(backend.server.pool, backend.server.version)
+        self.rollouts.record_placement(
+            backend.server.pool, backend.server.version
+        )
 
     def record_attempt(
         self, job: Job, backend: Backend, record: AttemptRecord
@@ -55,7 +59,7 @@
         is_bad = record.outcome in _BAD
         # A cold server has said that it would be slow.
         is_cold = now_ms < backend.cold_until_ms
-        self.rollouts.note_answer(
+        self.rollouts.record_answer(
             backend.server.pool,
             hash_name(job.route.name),
             backend.server.version,
--- a/seampond/rollouts/evidence.py
+++ b/seampond/rollouts/evidence.py
@@ -61,10 +61,10 @@
     Examples
     --------
     >>> test = SequentialTest()
-    >>> test.take(Tally(30, 0), usual_part=0.0)
+    >>> test.update(Tally(30, 0), usual_part=0.0)
     >>> test.is_good, test.is_bad
     (True, False)
-    >>> test.take(Tally(8, 5), usual_part=0.0)
+    >>> test.update(Tally(8, 5), usual_part=0.0)
     >>> test.is_good, test.is_bad
     (False, True)
 
@@ -93,7 +93,7 @@
         """Whether half of what is needed speaks against it."""
         return self.score >= _BAD_SCORE / 2
 
-    def take(self, fresh: Tally, usual_part: float) -> None:
+    def update(self, fresh: Tally, usual_part: float) -> None:
         """Take new answers; `usual_part` of the old version's are bad."""
         usual = min(_MOST_PART, max(_LEAST_PART, usual_part))
         worse = usual + _WORSE_PART
@@ -130,7 +130,7 @@
     _told: dict[str, _Told] = field(default_factory=dict)
     _tests: dict[int, SequentialTest] = field(default_factory=dict)
 
-    def note(self, route: int, *, is_new: bool, is_bad: bool) -> None:
+    def record(self, route: int, *, is_new: bool, is_bad: bool) -> None:
         """Count one answer of ours."""
         key = TallyKey(route, is_new)
         if key not in self.own and len(self.own) >= _COUNTS_MAX:
@@ -139,7 +139,7 @@
         self.own.setdefault(key, Tally()).add(fresh)
         self._add(key, fresh)
 
-    def take_told(
+    def apply_counts(
         self, name: str, life: int, tallies: Mapping[TallyKey, Tally]
     ) -> None:
         """Take what another gateway has counted in one life of it."""
@@ -177,7 +177,7 @@
         if key.is_new:
             for route in (key.route, _ALL):
                 test = self._tests.setdefault(route, SequentialTest())
-                test.take(fresh, self._usual_part(key.route))
+                test.update(fresh, self._usual_part(key.route))
 
     def _usual_part(self, route: int) -> float:
         """Give the part of bad answers of the old version on a route.
--- a/seampond/rollouts/exposure.py
+++ b/seampond/rollouts/exposure.py
@@ -31,7 +31,7 @@
     Examples
     --------
     >>> exposure = Exposure(0.1, 1)
-    >>> [exposure.note(is_new=exposure.may_expose) for _ in range(40)].count(1)
+    >>> [exposure.record(is_new=exposure.may_expose) for _ in range(40)].count(1)
     4
 
     """
@@ -47,7 +47,7 @@
         room = self.share * (self.sent + 1) + self.allowance
         return self.exposed + 1 <= _SAFE_PART * room
 
-    def note(self, *, is_new: bool) -> int:
+    def record(self, *, is_new: bool) -> int:
         """Count a request; give 1 if it is exposed."""
         self.sent += 1
         self.exposed += is_new
--- a/seampond/rollouts/latency.py
+++ b/seampond/rollouts/latency.py
@@ -42,7 +42,7 @@
     --------
     >>> slowness = LatencyBaseline()
     >>> for took_ms in range(20, 40):
-    ...     slowness.note(1, LatencySample('gap', took_ms))
+    ...     slowness.record(1, LatencySample('gap', took_ms))
     >>> [slowness.is_slow(1, LatencySample('gap', took_ms)) for took_ms in (50, 90)]
     [False, True]
 
@@ -54,7 +54,7 @@
             OrderedDict()
         )
 
-    def note(self, route: int, pace: LatencySample) -> None:
+    def record(self, route: int, pace: LatencySample) -> None:
         """Take the speed of one answer of the old version."""
         key = (route, pace.kind)
         samples = self._samples.setdefault(key, deque(maxlen=_SAMPLES))
--- a/seampond/rollouts/manager.py
+++ b/seampond/rollouts/manager.py
@@ -66,7 +66,7 @@
         What all gateways together may expose.
     count_gateways : Callable[[], int]
         How many gateways there may be, this one among them.
-    places_of : Callable[[str], Sequence[RolloutBackend]]
+    backends_of : Callable[[str], Sequence[RolloutBackend]]
         All servers of a pool that are known, also those that have left the
         list while something is open there.
     has_pool : Callable[[str], bool]
@@ -85,19 +85,19 @@
 
     limits: ExposureLimits
     count_gateways: Callable[[], int]
-    places_of: Callable[[str], Sequence[RolloutBackend]]
+    backends_of: Callable[[str], Sequence[RolloutBackend]]
     has_pool: Callable[[str], bool]
     list_reports: Callable[[], Sequence[Mapping[int, Report]] | None]
     hash_name: Callable[[str], int]
     store_ms: Callable[[int], int] = int
     local_ms: Callable[[int], int] = int
     slowness: LatencyBaseline = field(default_factory=LatencyBaseline)
-    is_read: bool = False
-    _is_started_unread: bool = False
+    is_state_loaded: bool = False
+    _is_awaiting_state: bool = False
     _pools: dict[str, _PoolState] = field(default_factory=dict)
 
     @property
-    def is_known(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether requests can be placed.
 
         Explanation
@@ -105,10 +105,10 @@
         Who starts while an order runs may not send to the old version if the
         store says so; who runs when an order comes begins with its trial.
         """
-        return not self._is_started_unread
+        return not self._is_awaiting_state
 
     @property
-    def is_wanted(self) -> bool:
+    def has_running(self) -> bool:
         """Whether the states of orders have to be followed."""
         return bool(self.running)
 
@@ -121,7 +121,7 @@
             if known.rollout is not None
         ]
 
-    def take_orders(
+    def apply_orders(
         self,
         orders: Iterable[Order],
         gone: Iterable[str],
@@ -139,21 +139,21 @@
 
         """
         listed = list(orders)
-        self._is_started_unread |= is_start and bool(listed)
+        self._is_awaiting_state |= is_start and bool(listed)
         for order in listed:
             known = self._pools.setdefault(order.pool, _PoolState())
             if known.order is None or order.version > known.order.version:
                 allowance = 0 if is_start else self._allowance
-                self._take_order(known, order, now_ms, allowance)
+                self._start_rollout(known, order, now_ms, allowance)
         for pool in gone:
             known = self._pools.get(pool, _PoolState())
             if known.rollout is not None and known.order is not None:
                 known.order = None
                 known.rollout.reject('order taken back')
-                _tell('order of a roll-out taken back', known.rollout)
+                _log_change('order of a roll-out taken back', known.rollout)
 
     @property
-    def told(self) -> frozenset[str]:
+    def pools_with_state(self) -> frozenset[str]:
         """The pools of which the store says anything."""
         return frozenset(
             pool
@@ -162,7 +162,7 @@
         )
 
     @property
-    def ordered(self) -> list[str]:
+    def pools_with_order(self) -> list[str]:
         """The pools that have an order."""
         return [
             pool
@@ -170,23 +170,23 @@
             if known.order is not None
         ]
 
-    def take_states(
+    def apply_states(
         self,
         statuses: Mapping[str, Status | None],
         steps: Mapping[str, Step | None],
         now_ms: int,
     ) -> None:
         """Take what the store says of orders, by pool; None: no row."""
-        self.is_read = True
-        self._is_started_unread = False
+        self.is_state_loaded = True
+        self._is_awaiting_state = False
         for pool in statuses.keys() | steps.keys():
             known = self._pools.setdefault(pool, _PoolState())
             known.status = statuses.get(pool, known.status)
             known.step = steps.get(pool, known.step)
         for known in self._pools.values():
-            self._follow(known, now_ms)
+            self._apply_store_state(known, now_ms)
 
-    def take_reports(
+    def apply_reports(
         self, name: str, life: int, reports: Iterable[Report]
     ) -> None:
         """Take what another gateway tells."""
@@ -198,24 +198,25 @@
             rollout = known.rollout
             if report.order != rollout.order.version:
                 continue
-            rollout.evidence.take_told(name, life, report.tallies)
+            rollout.evidence.apply_counts(name, life, report.tallies)
             if report.stage is Stage.refused:
                 rollout.reject('another gateway found it bad')
 
-    def make_reports(self) -> tuple[Report, ...]:
+    def build_reports(self) -> tuple[Report, ...]:
         """Give what the others are told."""
         return tuple(
-            known.rollout.report(
-                self.hash_name(pool), known.rollout.count(self.places_of(pool))
+            known.rollout.build_report(
+                self.hash_name(pool),
+                known.rollout.count_servers(self.backends_of(pool)),
             )
             for pool, known in self._items()
             if known.rollout is not None
         )
 
-    def group(
+    def group_backends(
         self,
         pool: str,
-        places: Sequence[BackendT],
+        backends: Sequence[BackendT],
         now_ms: int,
         draw: float | None,
     ) -> tuple[Sequence[BackendT], ...]:
@@ -230,29 +231,33 @@
         """
         known = self._pools.get(pool)
         if known is None:
-            return (places,)
+            return (backends,)
         if known.rollout is not None:
-            return known.rollout.group(places, now_ms, draw)
+            return known.rollout.group_backends(backends, now_ms, draw)
         status = known.status
         if status is None or known.final_ms is None:
-            return (places,)
+            return (backends,)
         target = status.target
-        new = [place for place in places if place.server.version == target]
-        old = [place for place in places if place.server.version != target]
+        new = [
+            backend for backend in backends if backend.server.version == target
+        ]
+        old = [
+            backend for backend in backends if backend.server.version != target
+        ]
         if status.state is State.rolled_back:
             return (old,)
         # The old ones have stopped, whatever the list still says.
         is_just_done = now_ms < known.final_ms + _STOPPED_MS
-        return (new,) if is_just_done and new else (places,)
+        return (new,) if is_just_done and new else (backends,)
 
-    def note_placed(self, pool: str, version: str) -> None:
+    def record_placement(self, pool: str, version: str) -> None:
         """Note that a request has a place on a server."""
-        rollout = self._find(pool)
+        rollout = self._find_rollout(pool)
         if rollout is not None:
             is_new = version == rollout.order.target
-            rollout.exposure.note(is_new=is_new)
+            rollout.exposure.record(is_new=is_new)
 
-    def note_answer(
+    def record_answer(
         self,
         pool: str,
         route: int,
@@ -273,32 +278,32 @@
             Whether anything came; else it counts only if that took too long.
 
         """
-        rollout = self._find(pool)
+        rollout = self._find_rollout(pool)
         is_new = rollout is not None and version == rollout.order.target
         if rollout is not None:
             # Once the old version gets nothing, nothing tells a burst from a
             # slow version: a good one was rolled back by 11 slow answers of 51
             # on a machine that had just become busy.
-            has_both = rollout.part(now_ms) < 1
+            has_both = rollout.traffic_share(now_ms) < 1
             is_slow = (
                 has_both
                 and pace is not None
                 and self.slowness.is_slow(route, pace)
             )
             if is_answer or is_slow:
-                rollout.evidence.note(
+                rollout.evidence.record(
                     route, is_new=is_new, is_bad=is_bad or is_slow
                 )
         is_usual = is_answer and not is_bad and not is_new
         if pace is not None and is_usual:
-            self.slowness.note(route, pace)
+            self.slowness.record(route, pace)
 
     def count_open_old(self, pool: str) -> int:
         """Give our requests on servers of another version than the target."""
-        rollout = self._find(pool)
+        rollout = self._find_rollout(pool)
         if rollout is None:
             return 0
-        return rollout.count(self.places_of(pool)).open_old
+        return rollout.count_servers(self.backends_of(pool)).open_old
 
     def evaluate(self, now_ms: int) -> None:
         """Decide how far each roll-out goes."""
@@ -309,21 +314,23 @@
             before = rollout.stage, rollout.is_rejected
             if known.order is not None and not self.has_pool(pool):
                 rollout.reject('no such pool')
-            rollout.evaluate(now_ms, rollout.count(self.places_of(pool)))
+            rollout.evaluate(
+                now_ms, rollout.count_servers(self.backends_of(pool))
+            )
             if before != (rollout.stage, rollout.is_rejected):
-                _tell('stage of a roll-out', rollout)
+                _log_change('stage of a roll-out', rollout)
 
-    def list_changes(self, now_ms: int) -> list[Change]:
+    def plan_changes(self, now_ms: int) -> list[Change]:
         """Give what should be written next, one for each pool at the most."""
-        if not self.is_read:
+        if not self.is_state_loaded:
             return []
-        changes = [self._plan(pool, now_ms) for pool in self._pools]
+        changes = [self._plan_change(pool, now_ms) for pool in self._pools]
         return [change for change in changes if change is not None]
 
     def _items(self) -> list[tuple[str, _PoolState]]:
         return list(self._pools.items())
 
-    def _find(self, pool: str) -> Rollout | None:
+    def _find_rollout(self, pool: str) -> Rollout | None:
         known = self._pools.get(pool)
         return known.rollout if known else None
 
@@ -333,7 +340,7 @@
         gateways = self.count_gateways()
         return self.limits.allowance / gateways if gateways else 0
 
-    def _take_order(
+    def _start_rollout(
         self, known: _PoolState, order: Order, now_ms: int, allowance: float
     ) -> None:
         known.order = order
@@ -341,31 +348,31 @@
         known.final_ms = None
         exposure = Exposure(self.limits.share, allowance)
         known.rollout = Rollout(order, exposure, now_ms)
-        _tell('roll-out ordered', known.rollout)
-        if self.is_read:
-            self._follow(known, now_ms)
+        _log_change('roll-out ordered', known.rollout)
+        if self.is_state_loaded:
+            self._apply_store_state(known, now_ms)
 
-    def _follow(self, known: _PoolState, now_ms: int) -> None:
+    def _apply_store_state(self, known: _PoolState, now_ms: int) -> None:
         """Bring a roll-out in line with what the store says of it."""
         rollout = known.rollout
         if rollout is None:
             return
-        status = _belonging(known.status, rollout.order)
+        status = _status_for(known.status, rollout.order)
         step = known.step
         if step is not None and step.order == rollout.order.version:
             started_ms = self.local_ms(step.since_ms)
             rollout.started_ms = min(rollout.started_ms, started_ms)
             if step.is_closing and known.closing_ms is None:
                 known.closing_ms = now_ms
-            rollout.take_step(step)
+            rollout.apply_step(step)
         if status is not None:
-            rollout.take_status(status)
+            rollout.apply_status(status)
             if status.state.is_final:
                 known.final_ms = now_ms
                 known.rollout = None
-                _tell('end of a roll-out', rollout)
+                _log_change('end of a roll-out', rollout)
 
-    def _plan(self, pool: str, now_ms: int) -> Change | None:
+    def _plan_change(self, pool: str, now_ms: int) -> Change | None:
         """Give what the store should be told of one pool."""
         known = self._pools[pool]
         rollout = known.rollout
@@ -376,11 +383,11 @@
         if step is not None and step.order != order.version:
             step = None
         if rollout.is_rejected:
-            return self._change(known, rollout, State.rolled_back)
-        if step is None or _belonging(known.status, order) is None:
+            return self._build_change(known, rollout, State.rolled_back)
+        if step is None or _status_for(known.status, order) is None:
             opened = Step(order.version, False, self.store_ms(now_ms), 0)
-            return self._change(known, rollout, State.running, opened)
-        reports = self._collect(pool, rollout)
+            return self._build_change(known, rollout, State.running, opened)
+        reports = self._collect_reports(pool, rollout)
         if reports is None:
             return None
         if step.is_closing:
@@ -388,7 +395,7 @@
         closing = None
         if all(report.stage in _MOVED for report in reports):
             opened = Step(order.version, True, step.since_ms, 0)
-            closing = self._change(known, rollout, None, opened)
+            closing = self._build_change(known, rollout, None, opened)
         return closing
 
     def _plan_end(
@@ -403,15 +410,21 @@
             return None
         if not all(map(_is_empty, reports)):
             return None
-        return self._change(known, rollout, State.done)
+        return self._build_change(known, rollout, State.done)
 
-    def _collect(self, pool: str, rollout: Rollout) -> list[Report] | None:
+    def _collect_reports(
+        self, pool: str, rollout: Rollout
+    ) -> list[Report] | None:
         """Give the word of each gateway that may serve, None if one lacks."""
         others = self.list_reports()
         if others is None:
             return None
         key = self.hash_name(pool)
-        reports = [rollout.report(key, rollout.count(self.places_of(pool)))]
+        reports = [
+            rollout.build_report(
+                key, rollout.count_servers(self.backends_of(pool))
+            )
+        ]
         for told in others:
             report = told.get(key)
             if report is None or report.order != rollout.order.version:
@@ -419,7 +432,7 @@
             reports.append(report)
         return reports
 
-    def _change(
+    def _build_change(
         self,
         known: _PoolState,
         rollout: Rollout,
@@ -443,14 +456,14 @@
     return report.stage is Stage.closed and not report.open_old
 
 
-def _belonging(status: Status | None, order: Order) -> Status | None:
+def _status_for(status: Status | None, order: Order) -> Status | None:
     """Give a status if it was written for this order, not an earlier one."""
     if status is None or status.version < order.version:
         return None
     return status if status.target == order.target else None
 
 
-def _tell(event: str, rollout: Rollout) -> None:
+def _log_change(event: str, rollout: Rollout) -> None:
     """Log one change of a roll-out, with what speaks for it."""
     answers = rollout.evidence.new_answers
     _logger.info(
--- a/seampond/rollouts/rollout.py
+++ b/seampond/rollouts/rollout.py
@@ -102,15 +102,19 @@
     reason: str = ''
     proved_ms: int | None = None
 
-    def count(self, places: Sequence[BackendT]) -> PoolCounts:
+    def count_servers(self, backends: Sequence[BackendT]) -> PoolCounts:
         """Count a pool's servers by version."""
         target = self.order.target
-        new = [place for place in places if place.server.version == target]
-        old = [place for place in places if place.server.version != target]
+        new = [
+            backend for backend in backends if backend.server.version == target
+        ]
+        old = [
+            backend for backend in backends if backend.server.version != target
+        ]
         return PoolCounts(
-            sum(place.server.slots for place in new if place.takes_work),
-            sum(place.server.slots for place in old if place.takes_work),
-            sum(place.in_flight for place in old),
+            sum(backend.server.slots for backend in new if backend.takes_work),
+            sum(backend.server.slots for backend in old if backend.takes_work),
+            sum(backend.in_flight for backend in old),
         )
 
     def reject(self, reason: str) -> None:
@@ -127,7 +131,7 @@
         if self.stage is not Stage.closed:
             self.stage = Stage.refused
 
-    def take_status(self, status: Status) -> None:
+    def apply_status(self, status: Status) -> None:
         """Follow what the store says."""
         if status.state is State.done:
             self.stage = Stage.closed
@@ -135,7 +139,7 @@
             self.is_rejected = True
             self.stage = Stage.refused
 
-    def take_step(self, step: Step) -> None:
+    def apply_step(self, step: Step) -> None:
         """Follow the store: nobody sends to the old version any more."""
         if step.is_closing and self.stage is not Stage.refused:
             self.stage = Stage.closed
@@ -150,14 +154,17 @@
             self.reason = 'no other version serves'
             self.stage = Stage.moved
             return
-        if now_ms > self._ends_ms and not counted.new_slots:
+        if now_ms > self._deadline_ms and not counted.new_slots:
             self.reject('no server of the version')
         elif self.proved_ms is None and self._is_trusted(now_ms):
             self.proved_ms = now_ms
-        if self._has_room(counted) and self.part(now_ms) >= _WHOLE_PART:
+        if (
+            self._has_enough_slots(counted)
+            and self.traffic_share(now_ms) >= _WHOLE_PART
+        ):
             self.stage = Stage.moved
 
-    def part(self, now_ms: int) -> float:
+    def traffic_share(self, now_ms: int) -> float:
         """Give the part of our requests that goes to the new version."""
         if self.stage in {Stage.moved, Stage.closed}:
             return _WHOLE_PART
@@ -166,8 +173,8 @@
         steps = (now_ms - self.proved_ms) // _RISE_STEP_MS
         return min(_WHOLE_PART, _FIRST_PART * 2**steps)
 
-    def group(
-        self, places: Sequence[BackendT], now_ms: int, draw: float | None
+    def group_backends(
+        self, backends: Sequence[BackendT], now_ms: int, draw: float | None
     ) -> tuple[list[BackendT], ...]:
         """Give the servers to look at, those that come first before others.
 
@@ -180,8 +187,12 @@
 
         """
         target = self.order.target
-        new = [place for place in places if place.server.version == target]
-        old = [place for place in places if place.server.version != target]
+        new = [
+            backend for backend in backends if backend.server.version == target
+        ]
+        old = [
+            backend for backend in backends if backend.server.version != target
+        ]
         if self.stage is Stage.refused:
             return (old,)
         if self.stage is Stage.closed:
@@ -192,7 +203,7 @@
             return (self._list_trial(new, now_ms), old)
         return (old,) if old else (new,)
 
-    def report(self, pool: int, counted: PoolCounts) -> Report:
+    def build_report(self, pool: int, counted: PoolCounts) -> Report:
         """Give what the other gateways are told."""
         return Report(
             pool,
@@ -203,7 +214,7 @@
         )
 
     @property
-    def _ends_ms(self) -> int:
+    def _deadline_ms(self) -> int:
         return self.started_ms + self.order.duration_ms
 
     def _is_trusted(self, now_ms: int) -> bool:
@@ -220,22 +231,22 @@
         is_untouched = has_answered or is_idle
         return is_late and is_untouched and not self.evidence.is_suspect
 
-    def _has_room(self, counted: PoolCounts) -> bool:
+    def _has_enough_slots(self, counted: PoolCounts) -> bool:
         return counted.new_slots >= _LEAST_ROOM_PART * counted.old_slots
 
     def _is_due(self, now_ms: int, draw: float) -> bool:
         """Whether a request goes to the new version."""
         if self.proved_ms is None:
             return self.exposure.may_expose
-        return draw < self.part(now_ms)
+        return draw < self.traffic_share(now_ms)
 
     def _list_trial(self, new: list[BackendT], now_ms: int) -> list[BackendT]:
         """Give the few new servers that every gateway tries first."""
-        part = max(_TRIAL_SERVERS_PART, self.part(now_ms))
+        part = max(_TRIAL_SERVERS_PART, self.traffic_share(now_ms))
         count = max(1, round(part * len(new)))
-        serving = [place for place in new if place.takes_work]
+        serving = [backend for backend in new if backend.takes_work]
         return sorted(serving, key=_by_id)[:count]
 
 
-def _by_id(place: RolloutBackend) -> str:
-    return place.server.id
+def _by_id(backend: RolloutBackend) -> str:
+    return backend.server.id
--- a/seampond/rollouts/tests/test_evidence.py
+++ b/seampond/rollouts/tests/test_evidence.py
@@ -18,10 +18,10 @@
     rng = random.Random(seed)
     evidence = Evidence()
     for _ in range(60):
-        evidence.note(ROUTE, is_new=False, is_bad=rng.random() < usual)
+        evidence.record(ROUTE, is_new=False, is_bad=rng.random() < usual)
     for _ in range(most):
-        evidence.note(ROUTE, is_new=False, is_bad=rng.random() < usual)
-        evidence.note(ROUTE, is_new=True, is_bad=rng.random() < part)
+        evidence.record(ROUTE, is_new=False, is_bad=rng.random() < usual)
+        evidence.record(ROUTE, is_new=True, is_bad=rng.random() < part)
         if evidence.verdict is not Verdict.unproved:
             break
     return evidence.verdict, evidence.new_answers.bad
@@ -58,27 +58,27 @@
         """A thousand good answers do not speak for what comes after."""
         evidence = Evidence()
         good = Answers(Tally(1000, 10), Tally(1000, 10))
-        evidence.take_told('a', 1, good.tell())
+        evidence.apply_counts('a', 1, good.as_tallies())
         self.assertIs(evidence.verdict, Verdict.good)
         turned = Answers(Tally(1020, 10), Tally(1020, 18))
-        evidence.take_told('a', 1, turned.tell())
+        evidence.apply_counts('a', 1, turned.as_tallies())
         self.assertIs(evidence.verdict, Verdict.bad)
 
     def test_one_bad_route_is_enough(self) -> None:
         """All the others are good."""
         evidence = Evidence()
         whole = Answers(Tally(900, 9), Tally(300, 3))
-        evidence.take_told('a', 1, whole.tell())
+        evidence.apply_counts('a', 1, whole.as_tallies())
         part = Answers(Tally(60, 0), Tally(20, 9))
-        evidence.take_told('b', 1, part.tell(_OTHER_ROUTE))
+        evidence.apply_counts('b', 1, part.as_tallies(_OTHER_ROUTE))
         self.assertIs(evidence.verdict, Verdict.bad)
 
     def test_large_route_without_answers_is_not_proved(self) -> None:
         """It may be the one that is bad."""
         evidence = Evidence()
         whole = Answers(Tally(900, 9), Tally(300, 3))
-        evidence.take_told('a', 1, whole.tell())
-        evidence.take_told(
+        evidence.apply_counts('a', 1, whole.as_tallies())
+        evidence.apply_counts(
             'a2', 1, {TallyKey(_OTHER_ROUTE, is_new=False): Tally(200, 0)}
         )
         self.assertIs(evidence.verdict, Verdict.unproved)
@@ -88,16 +88,16 @@
         evidence = Evidence()
         first = Answers(Tally(10, 0), Tally(4, 1))
         for _ in range(2):
-            evidence.take_told('a', 1, first.tell())
+            evidence.apply_counts('a', 1, first.as_tallies())
         self.assertEqual(evidence.new_answers, Tally(4, 1))
         second = Answers(Tally(1, 0), Tally(2, 0))
-        evidence.take_told('a', 2, second.tell())
+        evidence.apply_counts('a', 2, second.as_tallies())
         self.assertEqual(evidence.new_answers, Tally(6, 1))
 
     def test_counts_of_many_routes_fit_into_a_heartbeat(self) -> None:
         """A configuration may have thousands of routes."""
         evidence = Evidence()
         for route in range(1, 3000):
-            evidence.note(route, is_new=True, is_bad=False)
+            evidence.record(route, is_new=True, is_bad=False)
         self.assertLess(len(evidence.own), 520)
         self.assertEqual(evidence.new_answers.answers, 2999)
--- a/seampond/rollouts/tests/test_exposure.py
+++ b/seampond/rollouts/tests/test_exposure.py
@@ -36,20 +36,20 @@
         sent = 0
         exposed = 0
         for number, kind, requests in events:
-            place = number % len(fleet)
+            index = number % len(fleet)
             if kind == 'restart':
-                fleet[place] = Exposure(_SHARE)
+                fleet[index] = Exposure(_SHARE)
             elif kind == 'add':
                 fleet.append(Exposure(_SHARE))
             else:
                 for _ in range(requests):
-                    one = fleet[place]
-                    exposed += one.note(is_new=one.may_expose)
+                    one = fleet[index]
+                    exposed += one.record(is_new=one.may_expose)
                     sent += 1
                     self.assertLessEqual(exposed, _SHARE * sent + _SLACK)
 
     def test_room_is_used(self) -> None:
         """A bound that lets nothing through would be kept too."""
         one = Exposure(_SHARE, 10)
-        exposed = sum(one.note(is_new=one.may_expose) for _ in range(1000))
+        exposed = sum(one.record(is_new=one.may_expose) for _ in range(1000))
         self.assertGreater(exposed, 80)
--- a/seampond/rollouts/tests/test_fleet.py
+++ b/seampond/rollouts/tests/test_fleet.py
@@ -27,9 +27,9 @@
     NEW,
     OLD,
     POOL,
-    ListedPlace,
+    StubBackend,
     build_order,
-    build_places,
+    build_stub_backends,
 )
 
 _GATEWAYS = 6
@@ -92,7 +92,7 @@
 class Open:
     """A request at work."""
 
-    place: ListedPlace
+    backend: StubBackend
     route: int
     ends_ms: int
 
@@ -113,11 +113,11 @@
 
     def __post_init__(self) -> None:
         """Start a life."""
-        self.places = build_places()
+        self.backends = build_stub_backends()
         self.manager = RolloutManager(
             ExposureLimits(_SHARE, _SLACK),
             lambda: _GATEWAYS,
-            lambda pool: self.places,
+            lambda pool: self.backends,
             lambda pool: True,
             self.list_reports,
             lambda name: _KEY,
@@ -151,7 +151,7 @@
     @property
     def open_old(self) -> int:
         """Its requests on the old version."""
-        return sum(one.place.server.version == OLD for one in self.open)
+        return sum(one.backend.server.version == OLD for one in self.open)
 
 
 class Fleet:
@@ -185,8 +185,8 @@
             Gateway(self, f'g{number}') for number in range(_GATEWAYS)
         ]
         for gateway in self.gateways:
-            gateway.manager.take_orders([], [], 0, is_start=True)
-            gateway.manager.take_states({}, {}, 0)
+            gateway.manager.apply_orders([], [], 0, is_start=True)
+            gateway.manager.apply_states({}, {}, 0)
 
     def run(self) -> None:
         """Live."""
@@ -211,28 +211,30 @@
         if self.now_ms % (2 * _STEP_MS) == 0 and not gateway.is_cut:
             self._read(gateway)
         gateway.manager.evaluate(self.now_ms)
-        for change in gateway.manager.list_changes(self.now_ms):
+        for change in gateway.manager.plan_changes(self.now_ms):
             self._write(gateway, change)
         for _ in range(_REQUESTS_A_STEP):
             self._send(gateway)
 
     def _send(self, gateway: Gateway) -> None:
         draw = self.rng.random()
-        groups = gateway.manager.group(POOL, gateway.places, self.now_ms, draw)
+        groups = gateway.manager.group_backends(
+            POOL, gateway.backends, self.now_ms, draw
+        )
         group = next(filter(None, groups), None)
         if group is None:
             return
-        place = self.rng.choice(list(group))
-        is_new = place.server.version == NEW
+        backend = self.rng.choice(list(group))
+        is_new = backend.server.version == NEW
         if self.now_ms >= _ORDER_MS:
             self.sent += 1
             self.exposed += is_new
         self._check_send(is_new)
-        gateway.manager.note_placed(POOL, place.server.version)
-        place.in_flight += 1
+        gateway.manager.record_placement(POOL, backend.server.version)
+        backend.in_flight += 1
         takes_ms = round(self.rng.expovariate(1 / self.mean_ms))
         route = self.rng.choice(_ROUTES)
-        gateway.open.append(Open(place, route, self.now_ms + takes_ms))
+        gateway.open.append(Open(backend, route, self.now_ms + takes_ms))
 
     def _check_send(self, is_new: bool) -> None:
         if not is_new or not self.behaviour.bad_part:
@@ -246,8 +248,8 @@
         ended = [one for one in gateway.open if one.ends_ms <= self.now_ms]
         for one in ended:
             gateway.open.remove(one)
-            one.place.in_flight -= 1
-            is_new = one.place.server.version == NEW
+            one.backend.in_flight -= 1
+            is_new = one.backend.server.version == NEW
             age_ms = self.now_ms - _ORDER_MS
             is_bad = is_new and self.behaviour.is_bad(
                 one.route, age_ms, self.rng
@@ -257,10 +259,10 @@
             if is_bad and self.behaviour.is_slow:
                 took_ms *= 5
                 is_bad = False
-            gateway.manager.note_answer(
+            gateway.manager.record_answer(
                 POOL,
                 one.route,
-                one.place.server.version,
+                one.backend.server.version,
                 LatencySample('gap', took_ms),
                 self.now_ms,
                 is_bad=is_bad or self._happens(_USUAL_BAD),
@@ -272,7 +274,7 @@
             self.fiftieth_ms = self.now_ms
 
     def _beat(self, gateway: Gateway) -> None:
-        reports = gateway.manager.make_reports()
+        reports = gateway.manager.build_reports()
         for other in self.gateways:
             is_lost = self.troubles and self._happens(_LOST)
             is_apart = gateway.is_cut or other.is_cut or not other.is_up
@@ -280,17 +282,17 @@
                 continue
             told = {report.pool: report for report in reports}
             other.heard[gateway.name] = (self.now_ms, told)
-            other.manager.take_reports(gateway.name, gateway.life, reports)
+            other.manager.apply_reports(gateway.name, gateway.life, reports)
 
     def _read(self, gateway: Gateway) -> None:
-        gateway.manager.take_states(
+        gateway.manager.apply_states(
             {POOL: self.status} if self.status else {},
             {POOL: self.step} if self.step else {},
             self.now_ms,
         )
 
     def _tell_order(self, gateway: Gateway) -> None:
-        gateway.manager.take_orders([self.order], [], self.now_ms)
+        gateway.manager.apply_orders([self.order], [], self.now_ms)
 
     def _write(self, gateway: Gateway, change: Change) -> None:
         if gateway.is_cut:
@@ -359,7 +361,7 @@
         fresh.asleep_until_ms = self.now_ms + for_ms
         self.gateways[index] = fresh
         orders = [self.order] if self.now_ms >= _ORDER_MS else []
-        fresh.manager.take_orders(orders, [], self.now_ms, is_start=True)
+        fresh.manager.apply_orders(orders, [], self.now_ms, is_start=True)
         self._read(fresh)
 
 
--- a/seampond/rollouts/tests/test_model.py
+++ b/seampond/rollouts/tests/test_model.py
@@ -29,9 +29,9 @@
 from seampond.testing.rollouts import (
     OLD,
     POOL,
-    ListedPlace,
+    StubBackend,
     build_order,
-    build_places,
+    build_stub_backends,
 )
 
 _KEY = 1
@@ -56,8 +56,8 @@
     """One gateway: what it believes, has heard, and has open."""
 
     number: int
-    places: list[ListedPlace] = field(
-        default_factory=lambda: build_places(old=1, new=1)
+    backends: list[StubBackend] = field(
+        default_factory=lambda: build_stub_backends(old=1, new=1)
     )
     heard: dict[int, Report] = field(default_factory=dict)
     has_other: bool = False
@@ -74,9 +74,9 @@
             _hash_name,
         )
 
-    def list_places(self, pool: str) -> list[ListedPlace]:
+    def list_places(self, pool: str) -> list[StubBackend]:
         """Give the servers."""
-        return self.places
+        return self.backends
 
     def list_reports(self) -> list[Mapping[int, Report]] | None:
         """Give the newest word of the other one, whichever life it had."""
@@ -85,14 +85,16 @@
     @property
     def open_old(self) -> int:
         """What it has open on the old version."""
-        return self.places[0].in_flight
+        return self.backends[0].in_flight
 
     @property
     def sends_old(self) -> bool:
         """Whether it would send a request to the old version."""
-        groups = self.manager.group(POOL, self.places, 0, None)
+        groups = self.manager.group_backends(POOL, self.backends, 0, None)
         return any(
-            place.server.version == OLD for group in groups for place in group
+            backend.server.version == OLD
+            for group in groups
+            for backend in group
         )
 
     @property
@@ -104,11 +106,11 @@
     def copy(self) -> 'Node':
         """Give another one in the same state."""
         other = Node(self.number)
-        other.places[0].in_flight = self.open_old
+        other.backends[0].in_flight = self.open_old
         other.heard = dict(self.heard)
         other.has_other = self.has_other
         other.verdict = self.verdict
-        other.manager.is_read = self.manager.is_read
+        other.manager.is_state_loaded = self.manager.is_state_loaded
         known = copy.copy(self.manager._pools[POOL])
         known.rollout = copy.copy(known.rollout)
         other.manager._pools[POOL] = known
@@ -193,7 +195,7 @@
         """Let a gateway read the store."""
         statuses = {POOL: self.status} if self.status else {}
         steps = {POOL: self.step} if self.step else {}
-        node.manager.take_states(statuses, steps, self.now_ms)
+        node.manager.apply_states(statuses, steps, self.now_ms)
 
     def apply(self, change: Change) -> None:
         """Do a write, if what it rests on still holds."""
@@ -271,16 +273,16 @@
         """Let a heartbeat of the other one come."""
         other = self.nodes[1 - node.number]
         node.has_other = True
-        reports = other.manager.make_reports()
+        reports = other.manager.build_reports()
         node.heard = {report.pool: report for report in reports}
-        node.manager.take_reports(str(other.number), 1, reports)
+        node.manager.apply_reports(str(other.number), 1, reports)
 
     def _write(self, node: Node) -> None:
-        for change in node.manager.list_changes(self.now_ms):
+        for change in node.manager.plan_changes(self.now_ms):
             self.apply(change)
 
     def _write_late(self, node: Node) -> None:
-        for change in node.manager.list_changes(self.now_ms):
+        for change in node.manager.plan_changes(self.now_ms):
             self.lates -= 1
             self.late.append(change)
 
@@ -304,18 +306,20 @@
         self.nodes[node.number] = start(self, node.number)
 
     def _open(self, node: Node) -> None:
-        node.places[0].in_flight += 1
+        node.backends[0].in_flight += 1
         self.opened -= 1
 
     def _close(self, node: Node) -> None:
-        node.places[0].in_flight -= 1
+        node.backends[0].in_flight -= 1
 
 
 def start(world: World | None, number: int) -> Node:
     """Start a gateway."""
     node = Node(number)
     if world is not None:
-        node.manager.take_orders([world.order], [], world.now_ms, is_start=True)
+        node.manager.apply_orders(
+            [world.order], [], world.now_ms, is_start=True
+        )
         world.read(node)
     return node
 
--- a/seampond/rollouts/tests/test_rollout.py
+++ b/seampond/rollouts/tests/test_rollout.py
@@ -15,18 +15,18 @@
     POOL,
     ROUTE,
     Answers,
-    ListedPlace,
+    StubBackend,
     build_order,
-    build_places,
+    build_stub_backends,
 )
 
 _GOOD = Answers(Tally(400, 4), Tally(60, 0))
 _BAD = Answers(Tally(400, 4), Tally(20, 12))
 
 
-def list_versions(groups: tuple[list[ListedPlace], ...]) -> list[set[str]]:
+def list_versions(groups: tuple[list[StubBackend], ...]) -> list[set[str]]:
     """Give the versions in each group."""
-    return [{place.server.version for place in group} for group in groups]
+    return [{backend.server.version for backend in group} for group in groups]
 
 
 class StageTest(unittest.TestCase):
@@ -34,37 +34,37 @@
 
     def setUp(self) -> None:
         """Order a version of which four servers stand beside four others."""
-        self.places = build_places()
+        self.backends = build_stub_backends()
         self.rollout = Rollout(build_order(), Exposure(0.1, 5), 0)
 
     def evaluate(self, now_ms: int) -> Stage:
         """Decide, and give the stage."""
-        counted = self.rollout.count(self.places)
+        counted = self.rollout.count_servers(self.backends)
         self.rollout.evaluate(now_ms, counted)
         return self.rollout.stage
 
     def test_few_requests_go_to_few_servers_at_first(self) -> None:
         """So that these carry a load; one that was sent before goes not."""
-        first = self.rollout.group(self.places, 100, 0.5)
+        first = self.rollout.group_backends(self.backends, 100, 0.5)
         self.assertEqual(list_versions(first), [{NEW}, {OLD}])
         self.assertEqual(len(first[0]), 1)
-        again = self.rollout.group(self.places, 100, None)
+        again = self.rollout.group_backends(self.backends, 100, None)
         self.assertEqual(list_versions(again), [{OLD}])
         self.rollout.exposure.exposed = 50
         self.rollout.exposure.sent = 100
-        spent = self.rollout.group(self.places, 100, 0)
+        spent = self.rollout.group_backends(self.backends, 100, 0)
         self.assertEqual(list_versions(spent), [{OLD}])
 
     def test_proved_version_takes_more_and_more(self) -> None:
         """But not in the first quarter of the time: some turn bad later."""
-        self.rollout.evidence.take_told('a', 1, _GOOD.tell())
+        self.rollout.evidence.apply_counts('a', 1, _GOOD.as_tallies())
         self.evaluate(1000)
-        self.assertEqual(self.rollout.part(1000), 0)
+        self.assertEqual(self.rollout.traffic_share(1000), 0)
         self.evaluate(3000)
-        self.assertEqual(self.rollout.part(3000), 0.1)
-        self.assertEqual(self.rollout.part(3900), 0.4)
+        self.assertEqual(self.rollout.traffic_share(3000), 0.1)
+        self.assertEqual(self.rollout.traffic_share(3900), 0.4)
         self.assertIs(self.evaluate(4700), Stage.moved)
-        groups = self.rollout.group(self.places, 4700, None)
+        groups = self.rollout.group_backends(self.backends, 4700, None)
         self.assertEqual(list_versions(groups), [{NEW}, {OLD}])
 
     def test_bad_version_gets_nothing(self) -> None:
@@ -73,15 +73,15 @@
             with self.subTest(at_ms=at_ms):
                 self.setUp()
                 self.evaluate(at_ms)
-                self.rollout.evidence.take_told('a', 1, _BAD.tell())
+                self.rollout.evidence.apply_counts('a', 1, _BAD.as_tallies())
                 self.assertIs(self.evaluate(at_ms + 1), Stage.refused)
-                groups = self.rollout.group(self.places, at_ms, 0)
+                groups = self.rollout.group_backends(self.backends, at_ms, 0)
                 self.assertEqual(list_versions(groups), [{OLD}])
 
     def test_few_answers_without_a_bad_one_are_trusted_late(self) -> None:
         """Else a pool with little work would never get its new version."""
         few = Answers(Tally(40, 0), Tally(5, 0))
-        self.rollout.evidence.take_told('a', 1, few.tell())
+        self.rollout.evidence.apply_counts('a', 1, few.as_tallies())
         self.evaluate(5900)
         self.assertIsNone(self.rollout.proved_ms)
         self.evaluate(6000)
@@ -89,7 +89,7 @@
 
     def test_version_without_servers_is_given_up_in_the_end(self) -> None:
         """Nothing can move there."""
-        self.places = build_places(new=0)
+        self.backends = build_stub_backends(new=0)
         self.evaluate(11_000)
         self.assertFalse(self.rollout.is_rejected)
         self.evaluate(12_001)
@@ -97,33 +97,35 @@
 
     def test_version_that_serves_alone_has_moved(self) -> None:
         """An order for what is there already."""
-        self.places = build_places(old=0)
+        self.backends = build_stub_backends(old=0)
         self.assertIs(self.evaluate(10), Stage.moved)
 
     def test_too_few_new_servers_do_not_take_all(self) -> None:
         """The old ones would stop with half of the work waiting."""
-        self.places = build_places(old=6, new=1)
-        self.rollout.evidence.take_told('a', 1, _GOOD.tell())
+        self.backends = build_stub_backends(old=6, new=1)
+        self.rollout.evidence.apply_counts('a', 1, _GOOD.as_tallies())
         self.evaluate(3000)
         self.assertIs(self.evaluate(9000), Stage.trial)
 
     def test_closed_gateway_goes_back_by_the_stores_word_alone(self) -> None:
         """The old servers may have been told to stop."""
         step = Step(10, is_closing=True, since_ms=0, version=12)
-        self.rollout.take_step(step)
-        self.rollout.evidence.take_told('a', 1, _BAD.tell())
+        self.rollout.apply_step(step)
+        self.rollout.evidence.apply_counts('a', 1, _BAD.as_tallies())
         self.assertIs(self.evaluate(5000), Stage.closed)
-        groups = self.rollout.group(self.places, 5000, 0.5)
+        groups = self.rollout.group_backends(self.backends, 5000, 0.5)
         self.assertEqual(list_versions(groups), [{NEW}])
-        self.assertIs(self.rollout.report(1, self.counted).stage, Stage.refused)
-        self.rollout.take_status(Status(State.rolled_back, NEW, 13))
-        groups = self.rollout.group(self.places, 5000, 0.5)
+        self.assertIs(
+            self.rollout.build_report(1, self.counted).stage, Stage.refused
+        )
+        self.rollout.apply_status(Status(State.rolled_back, NEW, 13))
+        groups = self.rollout.group_backends(self.backends, 5000, 0.5)
         self.assertEqual(list_versions(groups), [{OLD}])
 
     @property
     def counted(self):  # type: ignore[no-untyped-def]
         """The servers as they are counted."""
-        return self.rollout.count(self.places)
+        return self.rollout.count_servers(self.backends)
 
 
 class DeskTest(unittest.TestCase):
@@ -131,27 +133,27 @@
 
     def setUp(self) -> None:
         """Know one other gateway and no order."""
-        self.places = build_places()
+        self.backends = build_stub_backends()
         self.others: list[Mapping[int, Report]] | None = []
         self.pools = {POOL}
         self.manager = RolloutManager(
             ExposureLimits(0.1, 50),
             lambda: 2,
-            lambda pool: self.places,
+            lambda pool: self.backends,
             lambda pool: pool in self.pools,
             lambda: self.others,
             len,
         )
-        self.manager.take_states({}, {}, 0)
+        self.manager.apply_states({}, {}, 0)
 
     def order(self, **changes: object) -> Rollout:
         """Give an order."""
-        self.manager.take_orders([build_order(**changes)], [], 0)
+        self.manager.apply_orders([build_order(**changes)], [], 0)
         return self.manager.running[0]
 
     def plan(self, now_ms: int) -> Change | None:
         """Give what would be written now, None for nothing."""
-        changes = self.manager.list_changes(now_ms)
+        changes = self.manager.plan_changes(now_ms)
         return changes[0] if changes else None
 
     def write(self, version: int, now_ms: int = 0) -> Change:
@@ -167,7 +169,7 @@
             steps[POOL] = Step(
                 told.order, told.is_closing, told.since_ms, version
             )
-        self.manager.take_states(statuses, steps, now_ms)
+        self.manager.apply_states(statuses, steps, now_ms)
         return change
 
     def test_order_runs_first(self) -> None:
@@ -210,9 +212,9 @@
         self.others = [{key: Report(key, 10, Stage.closed)}]
         # One that has just started may not be on the list yet.
         self.assertIsNone(self.plan(5500))
-        self.places[0].in_flight = 1
+        self.backends[0].in_flight = 1
         self.assertIsNone(self.plan(9000))
-        self.places[0].in_flight = 0
+        self.backends[0].in_flight = 0
         done = self.write(13, 9000)
         self.assertIs(done.state, State.done)
         self.assertEqual(self.manager.running, [])
@@ -223,15 +225,19 @@
             with self.subTest(state=state):
                 self.setUp()
                 self.order()
-                self.manager.take_states({POOL: Status(state, NEW, 11)}, {}, 50)
-                groups = self.manager.group(POOL, self.places, 60, 0.5)
-                versions = [place.server.version for place in groups[0]]
+                self.manager.apply_states(
+                    {POOL: Status(state, NEW, 11)}, {}, 50
+                )
+                groups = self.manager.group_backends(
+                    POOL, self.backends, 60, 0.5
+                )
+                versions = [backend.server.version for backend in groups[0]]
                 self.assertEqual(set(versions), {version})
                 self.assertEqual(len(groups), 1)
 
     def test_status_of_an_earlier_order_is_none_of_this_one(self) -> None:
         """The same version may be ordered again."""
-        self.manager.take_states(
+        self.manager.apply_states(
             {POOL: Status(State.rolled_back, NEW, 4)}, {}, 0
         )
         self.order()
@@ -244,7 +250,7 @@
         """And one for a pool that the configuration does not name."""
         self.order()
         self.write(11)
-        self.manager.take_orders([], [POOL], 100)
+        self.manager.apply_orders([], [POOL], 100)
         change = self.plan(100)
         assert change is not None
         self.assertIs(change.state, State.rolled_back)
@@ -261,7 +267,7 @@
         """With a trial of its own."""
         self.order()
         self.write(11)
-        self.manager.take_orders(
+        self.manager.apply_orders(
             [build_order(target='v3', version=20)], [], 100
         )
         rollout = self.manager.running[0]
@@ -275,7 +281,7 @@
         """At once, also while the store cannot be reached."""
         rollout = self.order()
         key = len(POOL)
-        self.manager.take_reports('b', 1, [Report(key, 10, Stage.refused)])
+        self.manager.apply_reports('b', 1, [Report(key, 10, Stage.refused)])
         self.assertIs(rollout.stage, Stage.refused)
         change = self.plan(0)
         assert change is not None
@@ -285,20 +291,20 @@
         """An earlier life of it may have spent it."""
         self.assertEqual(self.order().exposure.allowance, 25)
         self.setUp()
-        self.manager.take_orders([build_order()], [], 0, is_start=True)
+        self.manager.apply_orders([build_order()], [], 0, is_start=True)
         self.assertEqual(self.manager.running[0].exposure.allowance, 0)
 
     def test_time_counts_from_the_order_also_for_a_later_start(self) -> None:
         """The step tells when it was given."""
-        self.manager.take_orders([build_order()], [], 9000, is_start=True)
+        self.manager.apply_orders([build_order()], [], 9000, is_start=True)
         step = Step(10, is_closing=False, since_ms=2000, version=11)
-        self.manager.take_states({}, {POOL: step}, 9000)
+        self.manager.apply_states({}, {POOL: step}, 9000)
         self.assertEqual(self.manager.running[0].started_ms, 2000)
 
     def test_slow_answers_are_bad(self) -> None:
         """Against what the old version takes on the same route."""
         for number in range(40):
-            self.manager.note_answer(
+            self.manager.record_answer(
                 POOL,
                 ROUTE,
                 OLD,
@@ -308,7 +314,7 @@
             )
         rollout = self.order()
         for _ in range(10):
-            self.manager.note_answer(
+            self.manager.record_answer(
                 POOL, ROUTE, NEW, LatencySample('gap', 200), 0, is_bad=False
             )
         self.assertEqual(rollout.evidence.new_answers, Tally(10, 10))
@@ -323,7 +329,7 @@
         Failures go on to count.
         """
         for number in range(40):
-            self.manager.note_answer(
+            self.manager.record_answer(
                 POOL,
                 ROUTE,
                 OLD,
@@ -334,7 +340,7 @@
         rollout = self.order()
         rollout.stage = Stage.moved
         for is_bad in (False, True):
-            self.manager.note_answer(
+            self.manager.record_answer(
                 POOL, ROUTE, NEW, LatencySample('gap', 900), 100, is_bad=is_bad
             )
         self.assertEqual(rollout.evidence.new_answers, Tally(2, 1))
@@ -342,7 +348,7 @@
     def test_send_without_an_answer_counts_if_it_took_long(self) -> None:
         """Callers also leave early for reasons of their own."""
         for number in range(40):
-            self.manager.note_answer(
+            self.manager.record_answer(
                 POOL,
                 ROUTE,
                 OLD,
@@ -352,7 +358,7 @@
             )
         rollout = self.order()
         for took_ms in (30, 900):
-            self.manager.note_answer(
+            self.manager.record_answer(
                 POOL,
                 ROUTE,
                 NEW,
@@ -365,7 +371,7 @@
 
     def test_nothing_is_written_before_the_states_are_read(self) -> None:
         """They may say that the order has ended."""
-        self.manager.is_read = False
+        self.manager.is_state_loaded = False
         self.order()
         self.assertIsNone(self.plan(0))
 
@@ -374,21 +380,21 @@
 
         One that starts while an order runs has to read its state first.
         """
-        self.manager.is_read = False
+        self.manager.is_state_loaded = False
         self.order()
-        self.assertTrue(self.manager.is_known)
+        self.assertTrue(self.manager.is_ready)
         self.setUp()
-        self.manager.take_orders([build_order()], [], 0, is_start=True)
-        self.assertFalse(self.manager.is_known)
-        self.manager.take_states({}, {}, 0)
-        self.assertTrue(self.manager.is_known)
+        self.manager.apply_orders([build_order()], [], 0, is_start=True)
+        self.assertFalse(self.manager.is_ready)
+        self.manager.apply_states({}, {}, 0)
+        self.assertTrue(self.manager.is_ready)
 
     def test_state_that_was_removed_is_written_anew(self) -> None:
         """A change that rests on a row that is gone would never be made."""
         self.order()
         self.write(11)
-        self.assertEqual(self.manager.told, {POOL})
-        self.manager.take_states({POOL: None}, {POOL: None}, 0)
+        self.assertEqual(self.manager.pools_with_state, {POOL})
+        self.manager.apply_states({POOL: None}, {POOL: None}, 0)
         change = self.plan(0)
         assert change is not None
         self.assertEqual((change.status_version, change.step_version), (0, 0))
@@ -397,7 +403,7 @@
         """Each pool has a change of its own."""
         self.order()
         self.order(pool='api', version=12)
-        pools = [change.pool for change in self.manager.list_changes(0)]
+        pools = [change.pool for change in self.manager.plan_changes(0)]
         self.assertEqual(pools, [POOL, 'api'])
 
     def test_pool_that_nobody_asks_moves_late(self) -> None:
--- a/seampond/testing/rollouts.py
+++ b/seampond/testing/rollouts.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedServer:
+class StubServer:
     """A server of some version."""
 
     id: str
@@ -21,19 +21,19 @@
 
 
 @dataclass(slots=True)
-class ListedPlace:
+class StubBackend:
     """What stands for it where requests are placed."""
 
-    server: ListedServer
+    server: StubServer
     in_flight: int = 0
     takes_work: bool = True
 
 
-def build_places(old: int = 4, new: int = 4) -> list[ListedPlace]:
+def build_stub_backends(old: int = 4, new: int = 4) -> list[StubBackend]:
     """Give servers of both versions."""
     names = [(f'o{number}', OLD) for number in range(old)]
     names += [(f'n{number}', NEW) for number in range(new)]
-    return [ListedPlace(ListedServer(*name)) for name in names]
+    return [StubBackend(StubServer(*name)) for name in names]
 
 
 def build_order(**changes: Any) -> Order:
@@ -54,7 +54,7 @@
     old: Tally = field(default_factory=Tally)
     new: Tally = field(default_factory=Tally)
 
-    def tell(self, route: int = ROUTE) -> dict[TallyKey, Tally]:
+    def as_tallies(self, route: int = ROUTE) -> dict[TallyKey, Tally]:
         """Give them as they are told."""
         return {
             TallyKey(route, is_new=False): self.old,
