--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -102,8 +102,8 @@
     Mechanism(
         'retries kept for broken streams',
         'forwarding/retries.py',
-        '_FRESH_PART = 0.8',
-        '_FRESH_PART = 1.0',
+        '_RETRY_SHARE = 0.8',
+        '_RETRY_SHARE = 1.0',
     ),
     Mechanism(
         'fairness of quotas',
--- a/seampond/forwarding/__init__.py
+++ b/seampond/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""A gateway's path from a caller to one server and back."""
+"""Route requests from callers to servers and relay the answers."""
 
 from seampond.forwarding.models import Configuration as Configuration
 from seampond.forwarding.models import HeaderNames as HeaderNames
--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -1,4 +1,4 @@
-"""The web application of a gateway."""
+"""The ASGI application of a gateway."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 from seampond.promises import Promises, Rule
 from seampond.quarantine import format_fingerprint
 
-_DROPPED = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -32,29 +32,28 @@
         b'upgrade',
     )
 )
-_CLOSE = (b'connection', b'close')
+_CLOSE_HEADER = (b'connection', b'close')
 _DISCONNECT = 'http.disconnect'
-_BODIES_MAX_BYTES = 33_554_432
-# The platform's balancer takes a stopping gateway out within two seconds; a
-# caller that is turned away meanwhile may find another one at once.
-_STOPPING_MS = 300
+_BUFFERED_MAX_BYTES = 33_554_432
+# The balancer removes a stopping gateway soon, so a retry reaches another one.
+_STOP_RETRY_MS = 300
 _logger = logging.getLogger(__name__)
 
 
-class CallerDisconnected(Exception):
-    """The caller has left."""
+class CallerDisconnectedError(Exception):
+    """The caller has disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """A planned stop.
+    """The times of a planned stop.
 
     Parameters
     ----------
     accepts_until_ms : int
-        Until when callers may still be sent here as a matter of course.
+        Until when the balancer may still send callers here.
     close_ms : int
-        When what is still open is ended.
+        When open requests are aborted.
 
     """
 
@@ -64,14 +63,16 @@
 
 @dataclass
 class GatewayApp:
-    """What serving callers needs.
+    """The ASGI application that serves callers.
 
     Parameters
     ----------
     has_ready_peer : Callable[[], bool]
-        Tells whether another gateway takes callers.
+        Returns whether another gateway accepts callers.
     stop : PlannedStop or None
-        The planned stop that has begun, None for no stop.
+        The planned stop that has begun, None otherwise.
+    buffered_bytes : int
+        Total size of the request bodies in memory.
 
     """
 
@@ -83,7 +84,7 @@
     has_ready_peer: Callable[[], bool]
     stop: PlannedStop | None = None
     buffered_bytes: int = 0
-    _open: set['asyncio.Task[Any]'] = field(default_factory=set)
+    _open_tasks: set['asyncio.Task[Any]'] = field(default_factory=set)
 
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
@@ -91,48 +92,50 @@
         """Serve one request."""
         if scope['type'] != 'http':
             return
-        serving = RequestHandler(self, scope, send)
-        self._open.add(serving.task)
+        request_handler = RequestHandler(self, scope, send)
+        self._open_tasks.add(request_handler.task)
         try:
-            with suppress(CallerDisconnected, asyncio.CancelledError):
-                await serving.run(receive)
+            with suppress(CallerDisconnectedError, asyncio.CancelledError):
+                await request_handler.run(receive)
         except Exception:
-            # The web server answers 500, or cuts what has begun.
+            # The web server answers 500 or aborts an answer that has begun.
             _logger.exception('request failed')
             raise
         finally:
-            self._open.discard(serving.task)
+            self._open_tasks.discard(request_handler.task)
 
     @property
     def is_stopping(self) -> bool:
-        """Whether connections are to be closed after their answer."""
+        """Whether a planned stop has begun."""
         return self.stop is not None
 
     @property
     def open_requests(self) -> int:
-        """How many requests are at work."""
-        return len(self._open)
+        """The number of open requests."""
+        return len(self._open_tasks)
 
     async def wait_for_open_requests(self) -> None:
-        """Wait for the requests that are at work now, not for later ones."""
-        left_ms = 0
+        """Wait for the requests that are open now."""
+        remaining_ms = 0
         if self.stop is not None:
-            left_ms = max(0, self.stop.close_ms - self.clock.now())
-        if self._open:
-            await asyncio.wait(set(self._open), timeout=left_ms / MS_PER_SECOND)
+            remaining_ms = max(0, self.stop.close_ms - self.clock.now())
+        if self._open_tasks:
+            await asyncio.wait(
+                set(self._open_tasks), timeout=remaining_ms / MS_PER_SECOND
+            )
 
     def stop_retry_after_ms(self, stop: PlannedStop) -> int:
-        """Give when a caller that a stop turns away should come back."""
+        """Return when a caller that is refused by a stop may retry."""
         if self.has_ready_peer():
-            return _STOPPING_MS
-        return max(_STOPPING_MS, stop.close_ms - self.clock.now())
+            return _STOP_RETRY_MS
+        return max(_STOP_RETRY_MS, stop.close_ms - self.clock.now())
 
 
 class RequestHandler:
-    """One request of a caller, from its head to its final answer."""
+    """Handles one request of a caller."""
 
     def __init__(self, web: GatewayApp, scope: Scope, send: Send) -> None:
-        """Note the arrival."""
+        """Record the arrival of the request."""
         self.has_started = False
         self._web = web
         self._scope = scope
@@ -158,45 +161,47 @@
         try:
             outcome = await self._serve(receive)
         except asyncio.CancelledError:
-            self._note_not_run()
+            self._refund_if_not_run()
             raise
         finally:
             self._web.buffered_bytes -= self._body_bytes
-            self._tell(outcome)
+            self._log_outcome(outcome)
 
     async def start(self, head: ResponseHead, length: int | None) -> None:
         """Send the head of a server's answer."""
         headers = [
-            (name, text) for name, text in head.headers if name not in _DROPPED
+            (name, text)
+            for name, text in head.headers
+            if name not in _HOP_BY_HOP_HEADERS
         ]
         if self._arrival.method == b'HEAD':
-            told = head.get(b'content-length')
+            content_length = head.get(b'content-length')
         elif length is None:
-            told = b''
+            content_length = b''
         else:
-            told = b'%d' % length
-        if told:
-            headers.append((b'content-length', told))
+            content_length = b'%d' % length
+        if content_length:
+            headers.append((b'content-length', content_length))
         await self._start(head.status, headers)
 
     async def send(self, payload: bytes) -> None:
         """Send a part of the body."""
-        await self._send(_body(payload, more=True))
+        await self._send(_body_message(payload, more=True))
 
     async def finish(self) -> None:
-        """End the answer as whole."""
-        await self._send(_body(b'', more=False))
+        """Complete the answer."""
+        await self._send(_body_message(b'', more=False))
 
     async def _serve(self, receive: Receive) -> str:
-        """Serve the request; give the word for the log."""
+        """Serve the request and return the outcome for the log."""
         try:
             await self._forward(receive)
         except Refusal as refusal:
-            self._note_not_run()
+            self._refund_if_not_run()
             await self._refuse(refusal)
             return refusal.cause.value
         except AbortedResponseError as cut:
-            # No end mark: the web server closes the connection.
+            # Without the last chunk, the web server closes the connection.
             return f'cut: {cut}'
         return 'answered'
 
@@ -212,14 +217,13 @@
         await web.forwarder.forward(self._progress)
 
     def _check_stop(self, job: Job) -> None:
-        """Refuse what a planned stop would break off.
+        """Refuse requests that a planned stop would abort.
 
         Explanation
         -----------
-        Callers are still sent here where no other gateway is ready.  An
-        answer of one piece is made within its target or not at all; how long
-        a stream lasts nobody knows: of 1,274 on a day with planned stops half
-        ended within 0.8 s, one in twenty took over 4.5 s.
+        Requests still arrive if no other gateway is ready.  An answer without
+        streaming is expected within its target; the duration of a stream is
+        unknown.
         """
         web = self._web
         stop = web.stop
@@ -235,7 +239,7 @@
                 step='stop',
                 retry_after_ms=web.stop_retry_after_ms(stop),
             )
-        # Its answer is given before the connection is closed.
+        # The time-out is answered before the connection is closed.
         job.deadline_ms = min(job.deadline_ms, stop.close_ms)
 
     async def _start(
@@ -243,8 +247,8 @@
     ) -> None:
         self.has_started = True
         self._status = status
-        if self._web.is_stopping and _CLOSE not in headers:
-            headers.append(_CLOSE)
+        if self._web.is_stopping and _CLOSE_HEADER not in headers:
+            headers.append(_CLOSE_HEADER)
         if self._progress is not None:
             route = self._progress.job.route.name
             waited_ms = self._web.clock.now() - self._arrival.arrived_ms
@@ -259,7 +263,7 @@
             }
         )
 
-    def _note_not_run(self) -> None:
+    def _refund_if_not_run(self) -> None:
         if self._progress and not self._progress.job.may_have_run:
             self._web.admission.refund(self._progress.job)
 
@@ -270,25 +274,25 @@
         )
         if header_bytes > limits.header_bytes:
             raise Refusal(Cause.header_too_large, step='read')
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             message = await self._receive(receive)
-            part = message.get('body', b'')
-            size += len(part)
+            chunk = message.get('body', b'')
+            size += len(chunk)
             if size > limits.body_bytes:
                 raise Refusal(Cause.body_too_large, step='read')
-            parts.append(part)
+            chunks.append(chunk)
             if not message.get('more_body'):
                 break
-        if self._web.buffered_bytes + size > _BODIES_MAX_BYTES:
+        if self._web.buffered_bytes + size > _BUFFERED_MAX_BYTES:
             raise Refusal(
                 Cause.no_memory, step='read', retry_after_ms=MS_PER_SECOND
             )
-        return b''.join(parts)
+        return b''.join(chunks)
 
     async def _receive(self, receive: Receive) -> Message:
-        """Wait for the next part of the body, as long as it may take."""
+        """Return the next message; refuse the request on a time-out."""
         idle_timeout_ms = self._web.admission.limits.idle_timeout_ms
         try:
             async with asyncio.timeout(idle_timeout_ms / MS_PER_SECOND):
@@ -296,7 +300,7 @@
         except TimeoutError as error:
             raise Refusal(Cause.body_too_slow, step='read') from error
         if message['type'] == _DISCONNECT:
-            raise CallerDisconnected
+            raise CallerDisconnectedError
         return message
 
     async def _refuse(self, refusal: Refusal) -> None:
@@ -315,12 +319,12 @@
             seconds = refusal.retry_after_ms / MS_PER_SECOND
             headers.append((b'retry-after', b'%.3f' % seconds))
         if refusal.closes_connection:
-            headers.append(_CLOSE)
+            headers.append(_CLOSE_HEADER)
         self._web.metrics.refusals.labels(refusal.cause.value).inc()
         await self._start(refusal.status, headers)
-        await self._send(_body(text, more=False))
+        await self._send(_body_message(text, more=False))
 
-    def _tell(self, outcome: str) -> None:
+    def _log_outcome(self, outcome: str) -> None:
         progress, web = self._progress, self._web
         route = progress.job.route.name if progress else ''
         attempt_records = progress.attempt_records if progress else []
@@ -340,14 +344,14 @@
                 'version': web.admission.version,
                 'proof_age_ms': web.admission.proof_age_ms,
                 'waiting': web.forwarder.waiting,
-                'tried': [one.describe() for one in attempt_records],
+                'tried': [attempt.describe() for attempt in attempt_records],
             }
             | _describe_job(progress),
         )
 
 
 def _describe_job(progress: Progress | None) -> dict[str, object]:
-    """Give what the log is told of a request that was let in."""
+    """Return log fields of an admitted request."""
     if progress is None:
         return {}
     job = progress.job
@@ -363,5 +367,5 @@
     }
 
 
-def _body(payload: bytes, *, more: bool) -> dict[str, Any]:
+def _body_message(payload: bytes, *, more: bool) -> dict[str, Any]:
     return {'type': 'http.response.body', 'body': payload, 'more_body': more}
--- a/seampond/forwarding/attempt.py
+++ b/seampond/forwarding/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one server, and its answer passed on."""
+"""Send a request to one server and relay its answer."""
 
 import asyncio
 import logging
@@ -32,21 +32,23 @@
 from seampond.quarantine import format_fingerprint
 from seampond.quarantine.quarantine import Quarantine
 
-_WHOLE_MAX_BYTES = 1_048_576
-_ERRORS_IN_A_ROW = 4
-_LOAD_FIELDS = 3
-_PARTS_TO_LEARN = 4
+_BODY_MAX_BYTES = 1_048_576
+_ERRORS_BEFORE_PAUSE = 4
+_LOAD_FIELD_COUNT = 3
+_CHUNKS_PER_UPDATE = 4
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send to one server.
+    """One send of a request to one server.
 
     Parameters
     ----------
+    last_chunk_ms : int
+        When the last chunk of a streamed answer arrived.
     record : AttemptRecord
-        What the log is told of it.
+        Measurements of the attempt for the log.
 
     """
 
@@ -58,11 +60,11 @@
     promises: Promises
     quarantine: Quarantine
     sent_ms: int = 0
-    part_ms: int = 0
+    last_chunk_ms: int = 0
     record: AttemptRecord = field(init=False)
 
     async def run(self) -> Outcome:
-        """Send the request and pass the answer on."""
+        """Send the request, relay the answer and return the outcome."""
         backend, job = self.backend, self.progress.job
         now_ms = self.clock.now()
         pool = self.backends.pool_speed(job.pool)
@@ -85,29 +87,28 @@
                 is_suspect=job.crash_count > 0,
                 is_trial=job.is_trial,
             ):
-                outcome = await self._run()
+                outcome = await self._connect_and_send()
         finally:
-            self._note_end(now_ms)
-        # However it ended, the server had no new wish for rest.
+            self._record_end(now_ms)
+        # Has no effect if the answer has requested a new back-off.
         backend.signals.record_answer(self.sent_ms)
         self.record.outcome = outcome.value
         return outcome
 
-    def _note_end(self, since_ms: int) -> None:
-        """Note that the server is asked no more, however that came."""
+    def _record_end(self, since_ms: int) -> None:
+        """Record the end of the attempt, whether it succeeded or not."""
         self.record.duration_ms = self.clock.now() - since_ms
         self.backend.unanswered.pop(self.progress.job.request_id, None)
         self.progress.tried_servers.add(self.backend.server.id)
 
-    async def _run(self) -> Outcome:
+    async def _connect_and_send(self) -> Outcome:
         try:
             connection = await self.backends.acquire_connection(self.backend)
         except ExchangeError as error:
-            return self._fail(error)
+            return self._record_failure(error)
         if not self._may_send():
-            # The list or an answer has told of its leave while we connected,
-            # it has asked for rest or named a limit, or a server has ended
-            # under another copy of the request.
+            # While connecting, the server may have started to drain, requested
+            # a back-off or set a limit, or the request may have become suspect.
             self.backends.release_connection(self.backend, connection, None)
             return Outcome.unreachable
         keep_alive_ms: int | None = None
@@ -116,7 +117,7 @@
             outcome = await self._relay(connection)
             keep_alive_ms = parse_keep_alive_ms(await connection.read_head())
         except ExchangeError as error:
-            outcome = self._fail(error)
+            outcome = self._record_failure(error)
         except asyncio.CancelledError:
             self.quarantine.record_abandoned_run(
                 self.progress.job, self.backend.server, self.sent_ms
@@ -134,7 +135,7 @@
         return may_send and self.quarantine.may_send(self.progress.job)
 
     def _is_permitted(self, now_ms: int) -> bool:
-        """Whether the server has no limit, or we hold a permit."""
+        """Whether the server has no limit, or the request holds a permit."""
         permit = self.progress.job.permit
         if not self.backend.signals.limit.is_set:
             return True
@@ -146,15 +147,15 @@
         job.last_event = progress.splitter.last_id
         progress.splitter.restart()
         self.sent_ms = self.clock.now()
-        packet = encode_request(
+        encoded = encode_request(
             job, self.names, self.backend.server.id, self.sent_ms
         )
         job.attempts += 1
         has_body = job.method != b'HEAD'
-        connection.send(job.request_id, packet, has_body=has_body)
+        connection.send(job.request_id, encoded, has_body=has_body)
 
     def _check_promises(self) -> None:
-        """Hold the send against what was promised."""
+        """Check the promises that a send could break."""
         job, server = self.progress.job, self.backend.server
         now_ms = self.clock.now()
         for rule, holds in (
@@ -175,19 +176,18 @@
 
     async def _relay(self, connection: Connection) -> Outcome:
         job = self.progress.job
-        had_run = job.may_have_run
-        # From here on only the server's own word says that it has not run.
+        may_have_run_before = job.may_have_run
+        # Only a rejection by the server can prove now that it has not run.
         job.may_have_run = True
         head = await connection.read_head()
-        self._note_load(head)
-        # The row that says the same may come late: by 12.7 s in an outage of
-        # the store, in which the server got eleven more requests.
-        reported = parse_signals(head, self.names)
-        self.backends.apply_signals(self.backend, reported, self.sent_ms)
+        self._record_load(head)
+        # The server's row may report the same later, e.g. in a store outage.
+        signals = parse_signals(head, self.names)
+        self.backends.apply_signals(self.backend, signals, self.sent_ms)
         if self._is_rejection(head):
-            job.may_have_run = had_run
-            await connection.read_body(_WHOLE_MAX_BYTES)
-            self._note_rejection(head)
+            job.may_have_run = may_have_run_before
+            await connection.read_body(_BODY_MAX_BYTES)
+            self._record_rejection(head)
             return Outcome.rejected
         self._check_stamp(head)
         outcome = Outcome.complete
@@ -201,15 +201,17 @@
     async def _relay_whole(
         self, connection: Connection, head: ResponseHead
     ) -> Outcome:
-        body = await connection.read_body(_WHOLE_MAX_BYTES)
+        body = await connection.read_body(_BODY_MAX_BYTES)
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            self.backend.record_failure(self.clock.now(), _ERRORS_IN_A_ROW)
+            self.backend.record_failure(self.clock.now(), _ERRORS_BEFORE_PAUSE)
             self.progress.fallback_answer = BufferedAnswer(head, body)
             return Outcome.failed
         sink = self.progress.sink
         if sink.has_started:
-            raise self._error(f'answered {head.status} to a resumed stream')
-        self._note_first()
+            raise self._make_error(
+                f'status {head.status} in answer to a resumed stream'
+            )
+        self._record_first_byte()
         await sink.start(head, len(body))
         await sink.send(body)
         await sink.finish()
@@ -219,28 +221,28 @@
         self, connection: Connection, head: ResponseHead
     ) -> None:
         progress, sink = self.progress, self.progress.sink
-        parts = 0
+        chunk_count = 0
         while True:
-            part = await connection.read_chunk()
-            if part is None:
+            chunk = await connection.read_chunk()
+            if chunk is None:
                 break
-            parts += 1
-            self._note_part(parts)
-            events = progress.splitter.feed(part)
+            chunk_count += 1
+            self._record_chunk(chunk_count)
+            events = progress.splitter.feed(chunk)
             if events:
                 if not sink.has_started:
                     await sink.start(head, None)
                 progress.job.has_streamed = True
                 await sink.send(events)
         if progress.splitter.remainder:
-            raise self._error('ended inside an event')
+            raise self._make_error('stream ended inside an event')
         if not sink.has_started:
             await sink.start(head, None)
         await sink.finish()
-        self._note_stream(parts)
+        self._record_stream(chunk_count)
 
-    def _note_first(self) -> None:
-        """Learn from the first byte of a sound answer."""
+    def _record_first_byte(self) -> None:
+        """Update speed estimates from the time to the first byte."""
         job, backend = self.progress.job, self.backend
         backend.unanswered.pop(job.request_id, None)
         self.record.first_byte_ms = self.clock.now() - self.sent_ms
@@ -255,77 +257,77 @@
             backend.speed.record_service(self.record.first_byte_ms)
             self.backends.refresh_pool_speed(job.pool)
 
-    def _note_part(self, parts: int) -> None:
-        """Learn from the pauses of a stream, while it runs."""
+    def _record_chunk(self, chunk_count: int) -> None:
+        """Update speed estimates from the gaps between chunks."""
         now_ms = self.clock.now()
-        if parts == 1:
-            self._note_first()
+        if chunk_count == 1:
+            self._record_first_byte()
         else:
-            pause_ms = now_ms - self.part_ms
+            pause_ms = now_ms - self.last_chunk_ms
             self.record.longest_gap_ms = max(
                 self.record.longest_gap_ms, pause_ms
             )
-        self.part_ms = now_ms
-        if parts >= _PARTS_TO_LEARN:
+        self.last_chunk_ms = now_ms
+        if chunk_count >= _CHUNKS_PER_UPDATE:
             took_ms = now_ms - self.sent_ms - self.record.first_byte_ms
-            self.record.mean_gap_ms = took_ms / (parts - 1)
-        if parts % _PARTS_TO_LEARN:
+            self.record.mean_gap_ms = took_ms / (chunk_count - 1)
+        if chunk_count % _CHUNKS_PER_UPDATE:
             return
         self.backend.speed.record_gap(self.record.mean_gap_ms)
         self.backends.refresh_pool_speed(self.progress.job.pool)
 
-    def _note_stream(self, parts: int) -> None:
-        """Learn from a whole stream."""
+    def _record_stream(self, chunk_count: int) -> None:
+        """Update speed estimates from a complete stream."""
         job = self.progress.job
         self.backend.speed.record_pause(self.record.longest_gap_ms)
         if job.attempts == 1:
             pool = self.backends.pool_speed(job.pool)
-            pool.record_stream(job.prompt.answer_tokens, parts)
+            pool.record_stream(job.prompt.answer_tokens, chunk_count)
 
     def _check_stamp(self, head: ResponseHead) -> None:
         is_success = head.status < HTTPStatus.BAD_REQUEST
         if is_success and not head.has(self.names.stamp):
-            raise self._error('a success without a stamp')
+            raise self._make_error('successful answer without a stamp header')
 
     def _is_rejection(self, head: ResponseHead) -> bool:
         return head.status == HTTPStatus.MISDIRECTED_REQUEST or head.has(
             self.names.not_run
         )
 
-    def _note_rejection(self, head: ResponseHead) -> None:
+    def _record_rejection(self, head: ResponseHead) -> None:
         now_ms = self.clock.now()
         if head.status == HTTPStatus.MISDIRECTED_REQUEST:
             self.backend.record_replacement(now_ms)
         else:
-            self.backend.record_failure(now_ms, _ERRORS_IN_A_ROW)
+            self.backend.record_failure(now_ms, _ERRORS_BEFORE_PAUSE)
 
-    def _note_load(self, head: ResponseHead) -> None:
+    def _record_load(self, head: ResponseHead) -> None:
         fields = head.get(self.names.load).split(b',')
-        is_sound = all(field.strip().isdigit() for field in fields)
-        if len(fields) != _LOAD_FIELDS or not is_sound:
+        is_numeric = all(field.strip().isdigit() for field in fields)
+        if len(fields) != _LOAD_FIELD_COUNT or not is_numeric:
             return
         running, waiting = int(fields[0]), int(fields[1])
         self.backend.report = LoadReport(
             running, waiting, self.backend.in_flight, self.clock.now()
         )
 
-    def _note_lost(self, error: ExchangeError) -> None:
+    def _record_lost_connection(self, error: ExchangeError) -> None:
         job, server = self.progress.job, self.backend.server
         if error.was_sent:
             self.quarantine.record_crash(job, server, self.sent_ms)
         else:
             self.quarantine.record_server_exit(server)
 
-    def _error(self, message: str) -> ExchangeError:
+    def _make_error(self, message: str) -> ExchangeError:
         return ExchangeError(
             message, step='answer', peer=self.backend.server.address
         )
 
-    def _fail(self, error: ExchangeError) -> Outcome:
+    def _record_failure(self, error: ExchangeError) -> Outcome:
         backend = self.backend
         backend.record_failure(self.clock.now())
         if error.is_lost:
-            self._note_lost(error)
+            self._record_lost_connection(error)
         _logger.warning(
             'attempt failed',
             extra={
--- a/seampond/forwarding/caller_protocol.py
+++ b/seampond/forwarding/caller_protocol.py
@@ -1,4 +1,4 @@
-"""The web server of a gateway: raw targets, slow callers, and leaves."""
+"""HTTP protocol for the connections of callers."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 TARGET_KEY = 'seampond.target'
 ON_DISCONNECT_KEY = 'seampond.watch'
-_TOO_SLOW = (
+_REQUEST_TIMEOUT_RESPONSE = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'content-length: 0\r\n'
     b'connection: close\r\n\r\n'
@@ -23,31 +23,30 @@
 
     Explanation
     -----------
-    What the interface to applications does not give: the target of a request
-    byte for byte, word of a caller's leave without a task that waits for it,
-    and bounds that change with the configuration.
+    Adds what ASGI lacks: the raw target of a request, a callback on
+    disconnection, and time-outs that change with the configuration.
 
     Parameters
     ----------
     get_limits : Callable[[], RequestLimits]
-        Gives how long a caller may be silent, and how long a head may take.
+        Returns the current time-outs.
 
     """
 
     def __init__(
         self, get_limits: Callable[[], RequestLimits], *args: Any, **kwargs: Any
     ) -> None:
-        """Start with nobody to tell."""
+        """Initialize the protocol."""
         super().__init__(*args, **kwargs)
         self._get_limits = get_limits
-        self._on_gone: Callable[[], object] | None = None
-        self._is_in_head = False
+        self._on_disconnect: Callable[[], object] | None = None
+        self._is_reading_head = False
         self._head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(  # type: ignore[override]
         self, transport: asyncio.Transport
     ) -> None:
-        """Close the connection if nothing comes."""
+        """Start the idle time-out of the new connection."""
         super().connection_made(transport)
         self.timeout_keep_alive_task = self.loop.call_later(
             self._get_limits().idle_timeout_ms / MS_PER_SECOND,
@@ -55,61 +54,61 @@
         )
 
     def data_received(self, payload: bytes) -> None:
-        """Give a head that has begun and not ended its time."""
+        """Parse bytes and start the time-out of an incomplete head."""
         super().data_received(payload)
-        if self._is_in_head and self._head_timer is None:
+        if self._is_reading_head and self._head_timer is None:
             self._start_head_timer()
 
     def on_message_begin(self) -> None:
-        """Note that a head has begun."""
+        """Record the start of a head."""
         super().on_message_begin()
-        self._is_in_head = True
+        self._is_reading_head = True
 
     def on_headers_complete(self) -> None:
-        """Hand the raw target and the watch to the application."""
-        self._is_in_head = False
+        """Pass the raw target and disconnect hook to the application."""
+        self._is_reading_head = False
         self._stop_head_timer()
         self.scope['extensions'] = {
             TARGET_KEY: self.url,  # type: ignore[dict-item]
-            ON_DISCONNECT_KEY: self._watch,  # type: ignore[dict-item]
+            ON_DISCONNECT_KEY: self._set_callback,  # type: ignore[dict-item]
         }
-        # Fields behind a chunked body are no headers of the request.
+        # Copied because the trailers of a chunked body are appended later.
         self.scope['headers'] = list(self.headers)
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
-        """Let the connection rest as long as the configuration says."""
+        """Set the configured idle time-out."""
         idle_timeout_ms = self._get_limits().idle_timeout_ms
         self.timeout_keep_alive = -(-idle_timeout_ms // MS_PER_SECOND)
         super().on_response_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the request of a caller that has left."""
+        """Cancel the request of a caller that has disconnected."""
         super().connection_lost(exc)
         self._stop_head_timer()
         self._unset_keepalive_if_required()
         if self.cycle is not None and self.cycle.disconnected:
-            if self._on_gone is not None:
-                self._on_gone()
+            if self._on_disconnect is not None:
+                self._on_disconnect()
 
-    def _watch(self, on_gone: Callable[[], object]) -> None:
-        self._on_gone = on_gone
+    def _set_callback(self, callback: Callable[[], object]) -> None:
+        self._on_disconnect = callback
 
     def _start_head_timer(self) -> None:
         seconds = self._get_limits().header_timeout_ms / MS_PER_SECOND
-        self._head_timer = self.loop.call_later(seconds, self._refuse_head)
+        self._head_timer = self.loop.call_later(seconds, self._abort_slow_head)
 
     def _stop_head_timer(self) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _refuse_head(self) -> None:
-        """Refuse a request whose head did not end in time; it never ran."""
+    def _abort_slow_head(self) -> None:
+        """Answer 408 to a head that is not complete in time."""
         self._head_timer = None
         if self.cycle is not None and not self.cycle.response_complete:
-            # The answer to the request before it goes first.
+            # The answer to the previous request is sent first.
             self._start_head_timer()
             return
-        self.transport.write(_TOO_SLOW)
+        self.transport.write(_REQUEST_TIMEOUT_RESPONSE)
         self.transport.close()
--- a/seampond/forwarding/events.py
+++ b/seampond/forwarding/events.py
@@ -1,35 +1,38 @@
-"""Whole events of a stream, so that two runs can be joined."""
+"""Split server-sent event streams into whole events."""
 
-_END = b'\n\n'
-_ID = b'id:'
+_EVENT_END = b'\n\n'
+_ID_FIELD = b'id:'
 
 
 class EventSplitter:
-    """Cuts a stream of bytes at the ends of events."""
+    """Splits a byte stream at the ends of events.
+
+    Only whole events are relayed, so that a broken stream can be resumed.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing kept."""
+        """Initialize an empty splitter."""
         self.last_id = b''
         self.remainder = b''
 
     def feed(self, payload: bytes) -> bytes:
-        """Give the whole events so far; keep the rest."""
-        kept = self.remainder + payload
-        end = kept.rfind(_END)
+        """Return the whole events received; buffer the remainder."""
+        buffered = self.remainder + payload
+        end = buffered.rfind(_EVENT_END)
         if end < 0:
-            self.remainder = kept
+            self.remainder = buffered
             return b''
-        whole = kept[: end + len(_END)]
-        self.remainder = kept[end + len(_END) :]
-        self._note_id(whole)
-        return whole
+        events = buffered[: end + len(_EVENT_END)]
+        self.remainder = buffered[end + len(_EVENT_END) :]
+        self._record_last_id(events)
+        return events
 
     def restart(self) -> None:
-        """Forget a part of an event that was cut off."""
+        """Discard an incomplete event."""
         self.remainder = b''
 
-    def _note_id(self, whole: bytes) -> None:
-        for line in reversed(whole.splitlines()):
-            if line.startswith(_ID):
-                self.last_id = line[len(_ID) :].strip()
+    def _record_last_id(self, events: bytes) -> None:
+        for line in reversed(events.splitlines()):
+            if line.startswith(_ID_FIELD):
+                self.last_id = line[len(_ID_FIELD) :].strip()
                 return
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""One request: servers tried in turn until there is a final answer."""
+"""Try servers in turn until a request has its final answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,29 +19,29 @@
 from seampond.promises import Promises
 from seampond.quarantine.quarantine import Quarantine
 
-_UNREACHED_MAX = 4
-_MIN_LEFT_MS = 20
+_MAX_UNREACHED = 4
+_MIN_REMAINING_MS = 20
 _STEP = 'forward'
 
 
 class AbortedResponseError(Exception):
-    """The answer has begun and cannot be made whole."""
+    """The answer has begun and cannot be completed."""
 
 
 @dataclass(frozen=True)
 class ForwarderContext:
-    """What a forwarder works with.
+    """The dependencies of a forwarder.
 
     Parameters
     ----------
     check_proof : Callable[[Job], None]
-        Raises `Refusal` if the request may not be sent just now.
+        Raises `Refusal` if the configuration is not proved to be current.
     promises : Promises
-        Checks each send before it is made.
+        Checks the rules that a send must not break.
     quarantine : Quarantine
-        Holds requests back that end their servers.
+        Holds back requests that are suspected of crashing servers.
     versions : VersionPolicy
-        Told how each send ended.
+        Records the outcome of each attempt.
 
     """
 
@@ -58,55 +58,57 @@
 
 
 class Forwarder:
-    """Sends requests to servers and their answers back."""
+    """Sends requests to servers and relays their answers."""
 
-    def __init__(self, parts: ForwarderContext) -> None:
-        """Keep the parts."""
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, context: ForwarderContext) -> None:
+        """Initialize the forwarder."""
+        self._context = context
+        self._clock = context.clock
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a place."""
-        return self._parts.scheduler.waiting
+        """The number of requests that wait for a slot."""
+        return self._context.scheduler.waiting
 
     async def forward(self, progress: Progress) -> None:
-        """Carry one request through to its final answer.
+        """Send a request to servers until it has its final answer.
 
         Raises
         ------
         Refusal
-            If nothing of an answer was sent to the caller.
+            If no part of an answer was sent to the caller.
         CutError
-            If the answer has begun and cannot be made whole.
+            If the answer has begun and cannot be completed.
 
         """
         job = progress.job
-        self._parts.budget.record_first_attempt(job.pool)
+        self._context.budget.record_first_attempt(job.pool)
         progress.splitter.last_id = job.last_event
-        left_ms = max(0, job.deadline_ms - self._clock.now())
+        remaining_ms = max(0, job.deadline_ms - self._clock.now())
         try:
-            async with asyncio.timeout(left_ms / MS_PER_SECOND):
+            async with asyncio.timeout(remaining_ms / MS_PER_SECOND):
                 await self._try_servers(progress)
         except TimeoutError:
-            await self._give_up(progress, self._late(job))
+            await self._answer_refusal(
+                progress, self._make_timeout_refusal(job)
+            )
         except Refusal as refusal:
-            await self._give_up(progress, refusal)
+            await self._answer_refusal(progress, refusal)
 
     async def _try_servers(self, progress: Progress) -> None:
         job = progress.job
-        scheduler = self._parts.scheduler
+        scheduler = self._context.scheduler
         while True:
-            self._parts.quarantine.check(job)
+            self._context.quarantine.check(job)
             backend = await scheduler.acquire(job, progress.tried_servers)
             try:
                 outcome = await self._attempt(progress, backend)
             finally:
                 scheduler.release(backend)
-            self._parts.metrics.attempts.labels(outcome.value).inc()
+            self._context.metrics.attempts.labels(outcome.value).inc()
             if outcome is Outcome.complete:
                 return
-            if not self._may_try_again(progress, outcome):
+            if not self._may_retry(progress, outcome):
                 raise Refusal(
                     Cause.not_run,
                     step=_STEP,
@@ -114,61 +116,63 @@
                 )
 
     async def _attempt(self, progress: Progress, backend: Backend) -> Outcome:
-        parts = self._parts
-        # The request may have waited: look again before it is sent.
-        parts.check_proof(progress.job)
+        context = self._context
+        # The proof may have expired while the request waited.
+        context.check_proof(progress.job)
         attempt = Attempt(
             progress,
             backend,
-            parts.backends,
-            parts.names,
-            parts.clock,
-            parts.promises,
-            parts.quarantine,
+            context.backends,
+            context.names,
+            context.clock,
+            context.promises,
+            context.quarantine,
         )
-        async with parts.quarantine.admit(progress.job):
+        async with context.quarantine.admit(progress.job):
             try:
                 return await attempt.run()
             finally:
-                # Also of one that was given up: its server may have been mute.
-                parts.versions.record_attempt(
+                # Cancelled attempts count too: the server may not respond.
+                context.versions.record_attempt(
                     progress.job, backend, attempt.record
                 )
 
-    def _may_try_again(self, progress: Progress, outcome: Outcome) -> bool:
+    def _may_retry(self, progress: Progress, outcome: Outcome) -> bool:
         job = progress.job
-        if job.deadline_ms - self._clock.now() < _MIN_LEFT_MS:
+        if job.deadline_ms - self._clock.now() < _MIN_REMAINING_MS:
             return False
         if outcome is Outcome.unreachable:
             progress.unreached_count += 1
-            return progress.unreached_count < _UNREACHED_MAX
+            return progress.unreached_count < _MAX_UNREACHED
         if outcome is not Outcome.rejected and not job.route.may_repeat:
             return False
         if job.attempts >= job.route.attempts:
             return False
-        return self._parts.budget.try_acquire(
+        return self._context.budget.try_acquire(
             job.pool, is_resumed=job.has_streamed
         )
 
-    async def _give_up(self, progress: Progress, refusal: Refusal) -> None:
-        """Give the final answer: the server's own failure, or ours."""
-        sink, kept = progress.sink, progress.fallback_answer
+    async def _answer_refusal(
+        self, progress: Progress, refusal: Refusal
+    ) -> None:
+        """Send a server's error answer if there is one, else raise."""
+        sink, fallback = progress.sink, progress.fallback_answer
         if sink.has_started:
             raise AbortedResponseError(refusal.cause.value)
-        if kept is not None:
-            await sink.start(kept.head, len(kept.body))
-            await sink.send(kept.body)
+        if fallback is not None:
+            await sink.start(fallback.head, len(fallback.body))
+            await sink.send(fallback.body)
             await sink.finish()
             return
         if progress.job.may_have_run and refusal.cause is not Cause.timeout:
             raise Refusal(Cause.in_doubt, step=_STEP) from refusal
         raise refusal
 
-    def _late(self, job: Job) -> Refusal:
+    def _make_timeout_refusal(self, job: Job) -> Refusal:
         if job.may_have_run:
             return Refusal(Cause.timeout, step=_STEP)
         return Refusal(
             Cause.waited_too_long,
             step=_STEP,
-            retry_after_ms=self._parts.scheduler.compute_retry_after_ms(job),
+            retry_after_ms=self._context.scheduler.compute_retry_after_ms(job),
         )
--- a/seampond/forwarding/models.py
+++ b/seampond/forwarding/models.py
@@ -1,4 +1,4 @@
-"""What a gateway decides by: routes, tenants, pools and their limits."""
+"""The configuration of a gateway: routes, tenants, pools, limits."""
 
 import enum
 import hashlib
@@ -12,7 +12,7 @@
 
 @enum.unique
 class RequestKind(enum.Enum):
-    """What may be done with a request a second time."""
+    """Whether a request may be repeated or resumed."""
 
     idempotent = 'idempotent'
     once = 'once'
@@ -29,20 +29,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One kind of work: where it goes and how long it may take.
+    """A route: its target pools, time-outs and priority.
 
     Parameters
     ----------
     timeout_ms : int
-        The longest that a request is held, from its arrival.
+        Longest time from the arrival of a request to the end of its answer.
     target_ms : int
-        The time to the first byte within which an answer is in time.
+        Target time to the first byte.
     priority : int
-        Its rank, 0 the highest.
+        Priority, 0 is the highest.
     pause_ms : int
-        The longest pause in a stream that is still in time, 0 for any.
+        Target for the longest gap in a stream, 0 for none.
     attempts : int
-        The most servers that one request may be sent to.
+        Highest number of attempts of one request.
 
     """
 
@@ -61,13 +61,26 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may have run may be sent again."""
         return self.kind is RequestKind.idempotent or self.may_resume
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Who pays; `rate` and `burst` in units a second and units, 0: no limit."""
+    """A tenant and its quota.
+
+    Parameters
+    ----------
+    rate : float
+        Units a second, 0 for no limit.
+    burst : float
+        Capacity of the tenant's token bucket in units.
+    units_per_request : int
+        Units of a request whose tokens are not known or not counted.
+    counts_tokens : bool
+        Whether units are tokens.
+
+    """
 
     name: str
     priority: int | None = None
@@ -79,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """The servers that do the same work."""
+    """A group of interchangeable servers."""
 
     name: str
     connections_max: int
@@ -88,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
     Parameters
     ----------
     header_timeout_ms : int
-        From the first byte of a head to its end.
+        Longest time from the first byte of a head to its end.
     idle_timeout_ms : int
-        Without a byte, between two requests or inside a body.
+        Longest time without a byte, between requests or in a body.
 
     """
 
@@ -106,7 +119,7 @@
 
 
 def digest_key(key: str) -> bytes:
-    """Give the digest by which a key is looked up; differs by process."""
+    """Return the digest of an API key; it differs between processes."""
     return hashlib.blake2b(
         key.encode(), digest_size=_DIGEST_BYTES, key=_HASH_KEY
     ).digest()
@@ -114,14 +127,14 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
     Parameters
     ----------
     routes : Mapping[tuple[str, str], Route]
-        By host and path prefix.
+        Routes by host and path prefix.
     keys : Mapping[bytes, Tenant]
-        By :func:`digest_key` of each key.
+        Tenants by :func:`digest_key` of their keys.
 
     """
 
@@ -133,7 +146,7 @@
     limits: RequestLimits = RequestLimits()
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Give the route of `host` with the longest prefix of `path`.
+        """Return the route of `host` with the longest prefix of `path`.
 
         Examples
         --------
@@ -150,20 +163,20 @@
         return None
 
     def find_tenant(self, key: str) -> Tenant | None:
-        """Give the tenant that holds `key`."""
+        """Return the tenant that holds `key`."""
         return self.keys.get(digest_key(key))
 
 
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """How headers are spelled at the border, in lower case.
+    """Names of headers in lower case.
 
     Parameters
     ----------
     reserved : tuple[bytes, ...]
-        How the names of headers begin that only a gateway may set.
+        Prefixes of the headers that only a gateway may set.
     caller_settable : frozenset[bytes]
-        The reserved headers that a caller may set all the same.
+        Reserved headers that a caller may set too.
 
     """
 
--- a/seampond/forwarding/progress.py
+++ b/seampond/forwarding/progress.py
@@ -1,4 +1,4 @@
-"""How far one request has come, and where its answer goes."""
+"""State of a request across its attempts."""
 
 import enum
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receives the answer to a request."""
 
     has_started: bool
 
@@ -21,12 +21,12 @@
         """Send a part of the body."""
 
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """Mark the answer as complete."""
 
 
 @enum.unique
 class Outcome(enum.Enum):
-    """How one attempt ended; the value is the label of the counter."""
+    """How an attempt ended; the value is a metric label."""
 
     complete = 'whole'
     unreachable = 'unreached'
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class BufferedAnswer:
-    """A whole answer that is kept in case no better one comes."""
+    """A complete answer, kept in case every other attempt fails."""
 
     head: ResponseHead
     body: bytes
@@ -45,25 +45,25 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """What one send was decided by and how it went, for the log.
+    """Estimates and measurements of one attempt, for the log.
 
     Parameters
     ----------
     load : int
-        What the server was thought to hold beside this request.
+        Estimated number of other requests on the server.
     slowdown : float
-        How slow the server was thought to be.
+        Estimated slowness of the server relative to its pool.
     expected_first_byte_ms, first_byte_ms : int
-        From the send to the first byte, as it was expected and as it was;
-        -1 if none came.
+        Estimated and measured time from the send to the first byte; the
+        latter is -1 if none was received.
     longest_gap_ms : int
-        The longest pause between two parts of the answer.
+        Longest time between two chunks of the answer.
     mean_gap_ms : float
-        The mean time between two parts, 0 where few have come.
+        Mean time between two chunks, 0 if too few were received.
     duration_ms : int
-        From the send to the end, however it ended.
+        Time from the start of the attempt to its end.
     version : str
-        The version of the server's software.
+        Version of the server's software.
 
     """
 
@@ -79,8 +79,8 @@
     outcome: str = 'open'
 
     def describe(self) -> dict[str, object]:
-        """Give the fields of a log line."""
-        told: dict[str, object] = {
+        """Return the fields of a log line."""
+        fields: dict[str, object] = {
             'server': self.server,
             'load': self.load,
             'pace': round(self.slowdown, 2),
@@ -90,22 +90,24 @@
             'outcome': self.outcome,
         }
         if self.version:
-            told['version'] = self.version
-        return told
+            fields['version'] = self.version
+        return fields
 
 
 @dataclass(slots=True)
 class Progress:
-    """What has happened so far to one request.
+    """State of one request across its attempts.
 
     Parameters
     ----------
     tried_servers : set[str]
-        The servers that it was sent to.
+        Ids of the servers that have been tried.
     attempt_records : list[AttemptRecord]
-        What was tried, for the log.
+        Records of the attempts for the log.
     fallback_answer : BufferedAnswer or None
-        A server's failure, passed on if nothing better comes.
+        A server's error answer, relayed if no other attempt succeeds.
+    unreached_count : int
+        Number of attempts in which the request was not sent.
 
     """
 
--- a/seampond/forwarding/refusals.py
+++ b/seampond/forwarding/refusals.py
@@ -1,4 +1,4 @@
-"""Why a gateway answers a request itself, and with what."""
+"""Answers that a gateway gives itself, and their causes."""
 
 import enum
 from http import HTTPStatus
@@ -8,7 +8,7 @@
 
 @enum.unique
 class Cause(enum.Enum):
-    """Each cause; the value is the label of the counter."""
+    """Why a request was refused; the value is a metric label."""
 
     not_ready = 'not-ready'
     unproved = 'configuration-unproved'
@@ -32,7 +32,7 @@
     timeout = 'timeout'
 
 
-_LATER = HTTPStatus.SERVICE_UNAVAILABLE
+_DEFAULT_STATUS = HTTPStatus.SERVICE_UNAVAILABLE
 
 _STATUS = (
     (Cause.no_route, HTTPStatus.NOT_FOUND),
@@ -45,25 +45,25 @@
     (Cause.timeout, HTTPStatus.GATEWAY_TIMEOUT),
 )
 
-# Callers take these as a promise, and may send the request again.
-_NOT_RUN = (
-    _LATER,
+# Statuses that guarantee callers that the request may be sent again.
+_NOT_RUN_STATUSES = (
+    _DEFAULT_STATUS,
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.REQUEST_TIMEOUT,
 )
-# The rest of the body may still come: the connection is of no more use.
-_BODY_UNREAD = (Cause.body_too_large, Cause.body_too_slow)
+# The connection cannot be reused: the rest of the body may still arrive.
+_BODY_UNREAD_CAUSES = (Cause.body_too_large, Cause.body_too_slow)
 
 
 class Refusal(SeampondError):
-    """A request that gets its final answer from the gateway.
+    """The gateway answers a request itself.
 
     Parameters
     ----------
     cause : Cause
-        Why.
+        Reason for the refusal.
     retry_after_ms : int
-        When to come back, where the request has not run.
+        Time after which the caller may retry, 0 to send no such hint.
 
     """
 
@@ -75,24 +75,24 @@
         peer: str = '',
         retry_after_ms: int = 0,
     ) -> None:
-        """Keep the cause for the answer, the counter and the log."""
+        """Initialize the refusal."""
         super().__init__(cause.value, step=step, peer=peer)
         self.cause = cause
         self.retry_after_ms = retry_after_ms
 
     @property
     def guarantees_not_run(self) -> bool:
-        """Whether the status promises that the request never ran."""
-        return self.status in _NOT_RUN
+        """Whether the status guarantees that the request did not run."""
+        return self.status in _NOT_RUN_STATUSES
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the caller's body was not read to its end."""
-        return self.cause in _BODY_UNREAD
+        """Whether the caller's connection has to be closed."""
+        return self.cause in _BODY_UNREAD_CAUSES
 
     @property
     def status(self) -> HTTPStatus:
-        """The status of the answer.
+        """The HTTP status of the answer.
 
         Examples
         --------
@@ -100,4 +100,4 @@
         503
 
         """
-        return dict(_STATUS).get(self.cause, _LATER)
+        return dict(_STATUS).get(self.cause, _DEFAULT_STATUS)
--- a/seampond/forwarding/request_encoding.py
+++ b/seampond/forwarding/request_encoding.py
@@ -1,4 +1,4 @@
-"""A request as bytes for one server, and which headers a caller may set."""
+"""Encode requests to servers and filter the headers of callers."""
 
 from seampond.forwarding.job import Job
 from seampond.forwarding.models import HeaderNames
@@ -21,20 +21,18 @@
 
 
 def is_forwarded(name: bytes, names: HeaderNames) -> bool:
-    """Whether a header of a caller reaches the server.
+    """Return whether a header of a caller is forwarded to the server.
 
     Explanation
     -----------
-    Some headers are commands to a server: they hold memory, copy it or name
-    another request's.  They are set by the gateways alone, and so is each
-    header that a later version of a server may add beside them.  So of the
-    reserved prefixes only the headers that describe a request are taken from
-    a caller; other end-to-end headers pass, but for the caller's key.
+    Headers with a reserved prefix may be commands to a server, so only those
+    that describe a request are accepted from callers.  Other end-to-end
+    headers are forwarded, except the caller's key.
 
     Parameters
     ----------
     name : bytes
-        In lower case.
+        Name of the header in lower case.
 
     """
     if name in _HOP_HEADERS:
@@ -45,12 +43,12 @@
 def encode_request(
     job: Job, names: HeaderNames, instance: str, now_ms: int
 ) -> bytes:
-    """Give the bytes of the request for one server.
+    """Return the bytes of the request for one server.
 
     Explanation
     -----------
-    The caller's headers are passed on as :func:`is_forwarded` says.  The
-    server gets the time that is left.
+    The headers of the caller are filtered by :func:`is_forwarded`.  The
+    deadline header holds the remaining time.
     """
     replaced = {names.last_event} if job.last_event else set()
     left_ms = max(1, job.max_wait_ms - (now_ms - job.arrived_ms))
--- a/seampond/forwarding/response_head.py
+++ b/seampond/forwarding/response_head.py
@@ -1,4 +1,4 @@
-"""The head of an answer, and what can go wrong with an exchange."""
+"""Response heads and errors of exchanges with servers."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,7 @@
 
 _KEEP_ALIVE_MARGIN_MS = 1200
 _DEFAULT_IDLE_MS = 4000
-_TIMEOUT_WORD = b'timeout='
+_TIMEOUT_PREFIX = b'timeout='
 
 
 class ExchangeError(EngineError):
@@ -18,8 +18,7 @@
     was_sent : bool
         Whether the request may have reached the server.
     is_lost : bool
-        Whether the connection ended under it, as it does where the server
-        ends.
+        Whether the connection was lost, as it is when a server crashes.
 
     """
 
@@ -32,7 +31,7 @@
         was_sent: bool = True,
         is_lost: bool = False,
     ) -> None:
-        """Keep whether the request may have run."""
+        """Initialize the error."""
         super().__init__(message, step=step, peer=peer)
         self.was_sent = was_sent
         self.is_lost = is_lost
@@ -40,25 +39,25 @@
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The status and the headers of an answer, names in lower case."""
+    """The status and headers of an answer, names in lower case."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
 
     def get(self, name: bytes, default: bytes = b'') -> bytes:
-        """Give the first value of a header."""
-        for known, text in self.headers:
-            if known == name:
+        """Return the first value of a header."""
+        for header, text in self.headers:
+            if header == name:
                 return text
         return default
 
     def has(self, name: bytes) -> bool:
-        """Tell whether a header is there."""
-        return any(known == name for known, _ in self.headers)
+        """Return whether a header is present."""
+        return any(header == name for header, _ in self.headers)
 
 
 def parse_keep_alive_ms(head: ResponseHead) -> int:
-    """Give how long the connection of this answer may rest.
+    """Return how long the connection may stay idle.
 
     Examples
     --------
@@ -67,8 +66,8 @@
     3800
 
     """
-    for word in head.get(b'keep-alive').lower().split(b','):
-        seconds = word.strip().removeprefix(_TIMEOUT_WORD)
-        if seconds.isdigit() and word.strip() != seconds:
+    for parameter in head.get(b'keep-alive').lower().split(b','):
+        seconds = parameter.strip().removeprefix(_TIMEOUT_PREFIX)
+        if seconds.isdigit() and parameter.strip() != seconds:
             return int(seconds) * MS_PER_SECOND - _KEEP_ALIVE_MARGIN_MS
     return _DEFAULT_IDLE_MS
--- a/seampond/forwarding/retries.py
+++ b/seampond/forwarding/retries.py
@@ -1,35 +1,35 @@
-"""How many second sends a gateway may make for a pool."""
+"""Retry budgets per pool."""
 
 from collections import Counter
 from collections.abc import Callable
 
 from seampond.clock import MS_PER_SECOND, Clock
 
-_SAFE_PART = 0.8
-# A crash breaks many streams at once; the rest of the budget is theirs.
-_FRESH_PART = 0.8
+_USABLE_SHARE = 0.8
+# Leaves budget to resume the many streams that a server crash breaks.
+_RETRY_SHARE = 0.8
 
 
 class RetryBudget:
-    """This gateway's share of a budget that all gateways keep together.
+    """This gateway's share of the retry budget of all gateways.
 
     Explanation
     -----------
-    The bound holds over all gateways in any window: a share of the fresh
-    requests and a fixed allowance.  Each gateway keeps to the share of its
-    own fresh requests and to an equal part of the allowance, so the sum
-    holds without a message.
+    In any window, all gateways together may make `ratio` retries for each
+    first attempt and `allowance` more.  Each gateway counts its own first
+    attempts and uses an equal part of the allowance, so that no messages are
+    needed.
 
     Parameters
     ----------
     ratio : float
-        Second sends for each fresh request.
+        Retries for each first attempt.
     allowance : float
-        Second sends in a window for all gateways together.
+        Further retries of all gateways together in a window.
     window_ms : int
-        The length of the window.
+        Length of the window.
     count_gateways : Callable[[], int]
-        How many gateways there may be.
+        Returns the highest number of gateways that may be running.
 
     Examples
     --------
@@ -52,44 +52,44 @@
         count_gateways: Callable[[], int],
         clock: Clock,
     ) -> None:
-        """Start with nothing spent."""
+        """Initialize an unused budget."""
         self._ratio = ratio
         self._allowance = allowance
         self._seconds = -(-window_ms // MS_PER_SECOND)
         self._count_gateways = count_gateways
         self._clock = clock
-        self._fresh: dict[str, Counter[int]] = {}
-        self._repeats: dict[str, Counter[int]] = {}
+        self._first_attempts: dict[str, Counter[int]] = {}
+        self._retries: dict[str, Counter[int]] = {}
 
     def set_bounds(self, ratio: float, allowance: float) -> None:
-        """Take other bounds from now on."""
+        """Replace the bounds of the budget."""
         self._ratio = ratio
         self._allowance = allowance
 
     def record_first_attempt(self, pool: str) -> None:
-        """Note the first send of a request."""
-        self._note(self._fresh, pool)
+        """Record the first attempt of a request."""
+        self._increment(self._first_attempts, pool)
 
     def try_acquire(self, pool: str, *, is_resumed: bool = True) -> bool:
-        """Take one second send, if the budget has room for it.
+        """Spend one retry and return True if the budget allows it.
 
         Parameters
         ----------
         is_resumed : bool
-            Whether it takes up a stream that was broken off; other sends
-            leave a part of the budget for these.
+            Whether the retry resumes a broken stream; other retries leave a
+            part of the budget for these.
 
         """
         gateways = max(1, self._count_gateways())
-        room = self._ratio * self._sum(self._fresh, pool)
-        room += self._allowance / gateways
-        part = _SAFE_PART if is_resumed else _SAFE_PART * _FRESH_PART
-        if self._sum(self._repeats, pool) + 1 > room * part:
+        budget = self._ratio * self._sum(self._first_attempts, pool)
+        budget += self._allowance / gateways
+        share = _USABLE_SHARE if is_resumed else _USABLE_SHARE * _RETRY_SHARE
+        if self._sum(self._retries, pool) + 1 > budget * share:
             return False
-        self._note(self._repeats, pool)
+        self._increment(self._retries, pool)
         return True
 
-    def _note(self, counts: dict[str, Counter[int]], pool: str) -> None:
+    def _increment(self, counts: dict[str, Counter[int]], pool: str) -> None:
         second = self._clock.now() // MS_PER_SECOND
         counts.setdefault(pool, Counter())[second] += 1
 
@@ -98,7 +98,7 @@
         if by_second is None:
             return 0
         oldest = self._clock.now() // MS_PER_SECOND - self._seconds
-        old = [known for known in by_second if known < oldest]
-        for second in old:
+        expired = [second for second in by_second if second < oldest]
+        for second in expired:
             by_second.pop(second)
         return by_second.total()
--- a/seampond/forwarding/server.py
+++ b/seampond/forwarding/server.py
@@ -1,20 +1,20 @@
-"""A server as the list names it."""
+"""Servers as registered in the store."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One server as the list names it.
+    """One server as registered in the store.
 
     Parameters
     ----------
     version : str
-        The version of its software, empty if none is told.
+        Version of its software, empty if unknown.
     cold_ms : int
-        How much longer it is slow from its start, when its row was written.
+        Remaining time of its cold start when its row was written.
     started_ms : int
-        When it started, by the time of day; 0 if its row does not tell.
+        Start time in Unix milliseconds, 0 if unknown.
 
     """
 
@@ -30,7 +30,7 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of one life: a server may start again under its id.
+        """A name of this start of the server, which may reuse its id.
 
         Examples
         --------
--- a/seampond/forwarding/server_signals.py
+++ b/seampond/forwarding/server_signals.py
@@ -1,4 +1,4 @@
-"""What a server says of itself in the head of an answer."""
+"""Signals on its state that a server sends in response headers."""
 
 import re
 import time
@@ -12,28 +12,28 @@
 from seampond.forwarding.response_head import ResponseHead
 
 _RETRY_AFTER = b'retry-after'
-_YES = b'1'
+_DRAINING_VALUE = b'1'
 _DECIMAL = re.compile(r'\d+\.?\d*|\.\d+', re.ASCII)
-# A longer time is a slip of its writer: it would shut a server out for good.
+# Bounds erroneous values, which would exclude a server for good.
 BACKOFF_MAX_MS = 300_000
-# No server takes more: a number of some hundred digits is infinite.
+# Replaces infinity, which numbers with hundreds of digits parse to.
 LIMIT_MAX_PER_SECOND = 1_000_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSignals:
-    """What one answer says of its server.
+    """The signals in one answer.
 
     Parameters
     ----------
     is_draining : bool
-        Whether the server leaves.
+        Whether the server is draining.
     backoff_ms : int
-        For how long it wants nothing from us, 0 for no such wish.
+        How long the server wants no requests, 0 for no back-off.
     limit : float or None
-        The requests a second that it takes from all gateways together.
+        Requests a second that it accepts from all gateways together.
     is_own : bool
-        Whether that server has answered.
+        Whether the answer came from the server that the request was sent to.
 
     """
 
@@ -44,12 +44,12 @@
 
 
 def parse_signals(head: ResponseHead, names: HeaderNames) -> ServerSignals:
-    """Read what an answer says of its server.
+    """Return the signals in the head of an answer.
 
     Explanation
     -----------
-    A misdirected request was answered by another server than the one that
-    was asked; its words are not that one's.
+    A misdirected request was answered by another server, so its headers are
+    ignored.
 
     Examples
     --------
@@ -62,7 +62,7 @@
     if head.status == HTTPStatus.MISDIRECTED_REQUEST:
         return ServerSignals(is_own=False)
     is_draining = any(
-        name == names.leaving and text.strip() == _YES
+        name == names.leaving and text.strip() == _DRAINING_VALUE
         for name, text in head.headers
     )
     backoff_ms = 0
@@ -76,19 +76,19 @@
             default=0,
         )
     return ServerSignals(
-        is_draining, backoff_ms, _read_limit(head, names.limit)
+        is_draining, backoff_ms, _parse_lowest_limit(head, names.limit)
     )
 
 
 def parse_retry_after_ms(text: str, now_s: float) -> int:
-    """Give how long a server wants rest, 0 for no time that can be read.
+    """Return the back-off of a Retry-After header, 0 if it is invalid.
 
     Parameters
     ----------
     text : str
-        Seconds, fractions included, or a date of HTTP.
+        Seconds, possibly with a fraction, or an HTTP date.
     now_s : float
-        The time of day in seconds, for a date.
+        Current Unix time in seconds.
 
     Examples
     --------
@@ -99,30 +99,30 @@
 
     """
     stripped = text.strip()
-    # Several headers of one name may have been joined on their way.
+    # Proxies may join several headers of one name.
     parts = [part.strip() for part in stripped.split(',')]
     if all(map(_DECIMAL.fullmatch, parts)):
         seconds = max(map(float, parts))
     else:
         seconds = _seconds_until(stripped, now_s)
-    # Bounded first: a number of some hundred digits is infinite.
-    most_s = BACKOFF_MAX_MS / MS_PER_SECOND
-    return round(min(max(seconds, 0), most_s) * MS_PER_SECOND)
+    # Bounded before rounding, which fails for infinity.
+    max_s = BACKOFF_MAX_MS / MS_PER_SECOND
+    return round(min(max(seconds, 0), max_s) * MS_PER_SECOND)
 
 
-def _read_limit(head: ResponseHead, wanted: bytes) -> float | None:
-    """Give the lowest limit that an answer names."""
+def _parse_lowest_limit(head: ResponseHead, header: bytes) -> float | None:
+    """Return the lowest limit in the headers of an answer."""
     limits = [
         parse_limit(text.decode('latin-1'))
         for name, text in head.headers
-        if name == wanted
+        if name == header
     ]
     named = [limit for limit in limits if limit is not None]
     return min(named, default=None)
 
 
 def parse_limit(text: str) -> float | None:
-    """Give the requests a second that a server takes, None where unreadable.
+    """Return a limit in requests a second, None if it is invalid.
 
     Examples
     --------
@@ -130,7 +130,7 @@
     (1.5, 2.0, None)
 
     """
-    # Several headers of one name may have been joined on their way.
+    # Proxies may join several headers of one name.
     parts = [part.strip() for part in text.split(',')]
     named = [float(part) for part in parts if _DECIMAL.fullmatch(part)]
     return min([*named, LIMIT_MAX_PER_SECOND]) if named else None
@@ -143,5 +143,5 @@
             moment = moment.replace(tzinfo=UTC)
         return moment.timestamp() - now_s
     except (ValueError, TypeError, OverflowError):
-        # No date either; a wish that cannot be read is none.
+        # Invalid headers are ignored.
         return 0
--- a/seampond/forwarding/signal_state.py
+++ b/seampond/forwarding/signal_state.py
@@ -1,7 +1,7 @@
-"""What servers have said of themselves in their answers, and how long it holds.
+"""State that is kept from the signals in the answers of servers.
 
-Load pattern: a server that leaves, or is overrun, while its row in the store
-tells nothing of it, or tells it late.
+Answers report draining, back-off and limits earlier than the rows in the store,
+which may be outdated or unreachable.
 """
 
 import logging
@@ -13,33 +13,35 @@
 from seampond.forwarding.server_limit import ServerLimit
 from seampond.forwarding.server_signals import ServerSignals
 
-# Some 150 B each; a server that is forgotten is asked once more.
-_KEPT_MAX = 8192
+# Bounds memory; a discarded server is sent one more request.
+_ENTRIES_MAX = 8192
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class SignalState:
-    """What one life of a server has said.
+    """Signals received from one incarnation of a server.
 
     Explanation
     -----------
-    A word of a leave holds to the end of that life, whatever a row tells: the
-    store may have been away when it was said, and a row that comes later may
-    have been written before.
+    A draining incarnation stays so whatever its row says: the store may have
+    been unreachable at the time, and a row that arrives later may have been
+    written before.
 
     Parameters
     ----------
     started_ms : int
-        When that life began, 0 as long as no row has told.
+        Start time of the incarnation, 0 while unknown.
+    is_draining : bool
+        Whether the server has reported that it is draining.
     drain_until_ms : int
-        Until when a server that leaves may still be sent to.
+        End of the time in which a draining server may get requests.
     backoff_until_ms : int
-        Until when it wants nothing from us.
+        End of the back-off that the server requested.
     needs_probe : bool
-        Whether no request has ended there since it wanted rest.
+        Whether no request has been answered since the last back-off.
     limit : ServerLimit
-        What it takes from all gateways together.
+        Limit on the requests of all gateways together.
 
     """
 
@@ -51,74 +53,73 @@
     limit: ServerLimit = field(default_factory=ServerLimit)
 
     def is_backing_off(self, now_ms: int) -> bool:
-        """Whether it has asked to be left alone now."""
+        """Whether the server has requested a back-off."""
         return now_ms < self.backoff_until_ms
 
     def record_answer(self, sent_ms: int) -> None:
-        """Note that a request that was sent at a time met with no new wish."""
+        """Record an answer to a request that was sent at `sent_ms`."""
         if sent_ms >= self.backoff_until_ms:
             self.needs_probe = False
 
 
 class SignalRegistry:
-    """The notices of all servers that have said anything.
+    """The signal states of all servers that have sent signals.
 
     Explanation
     -----------
-    They outlive what else is believed of a server: its row may lapse while
-    the store is away, and be there again.
+    States outlive the other data on a server: its row may expire while the
+    store is unreachable, and reappear.
 
     Parameters
     ----------
     count : Callable[[str], None]
-        Counts a word.
+        Counts a signal by its kind.
 
     """
 
     def __init__(self, count: Callable[[str], None], clock: Clock) -> None:
-        """Start with nothing said."""
+        """Initialize an empty registry."""
         self._count = count
         self._clock = clock
-        self._by_id: dict[str, SignalState] = {}
+        self._states: dict[str, SignalState] = {}
 
     def state_of(self, server: Server) -> SignalState:
-        """Give the notice of the life that a row names."""
-        kept = self._by_id.get(server.id)
-        if kept is None or 0 < kept.started_ms < server.started_ms:
+        """Return the state of the incarnation that a row names."""
+        known = self._states.get(server.id)
+        if known is None or 0 < known.started_ms < server.started_ms:
             return SignalState(server.started_ms)
-        kept.started_ms = kept.started_ms or server.started_ms
-        return kept
+        known.started_ms = known.started_ms or server.started_ms
+        return known
 
-    def apply_row(self, server: Server, signals: SignalState) -> None:
-        """Take what a row says of the life that it names.
+    def apply_row(self, server: Server, state: SignalState) -> None:
+        """Update the state from the server's row.
 
         Explanation
         -----------
-        A server that has begun to leave ends, so a row that says `ready` of
-        the same life is an older one: the store may have been restored from a
-        copy in which it had not left yet.
+        Draining is final for an incarnation, so a row that says `ready` is
+        outdated: the store may have been restored from an older copy.
         """
         if server.is_draining:
-            signals.is_draining = True
-            signals.drain_until_ms = 0
-            self._keep(server.id, signals)
+            state.is_draining = True
+            state.drain_until_ms = 0
+            self._store(server.id, state)
 
     def apply(
         self,
         server: Server,
-        signals: SignalState,
+        state: SignalState,
         reported: ServerSignals,
         grace_ms: int,
         sent_ms: int,
     ) -> None:
-        """Take what a server has said in an answer.
+        """Update the state from the signals in an answer.
 
         Parameters
         ----------
-        signals : SignalState
-            Of the life that has answered.
+        state : SignalState
+            State of the incarnation that has answered.
         grace_ms : int
-            How long after its word of a leave a server may be sent to.
+            How long a draining server may still get requests.
         sent_ms : int
             When the request was sent.
 
@@ -126,51 +127,55 @@
         now_ms = self._clock.now()
         if reported.is_draining:
             self._count('leaves')
-            if not signals.is_draining:
-                signals.is_draining = True
-                signals.drain_until_ms = now_ms + grace_ms
-                _tell('server says that it leaves', server)
+            if not state.is_draining:
+                state.is_draining = True
+                state.drain_until_ms = now_ms + grace_ms
+                _log_signal('server reports draining', server)
         if reported.backoff_ms:
             self._count('rest')
-            if not signals.is_backing_off(now_ms):
-                _tell('server wants rest', server, rest_ms=reported.backoff_ms)
-            # A shorter wish does not end a longer one.
+            if not state.is_backing_off(now_ms):
+                _log_signal(
+                    'server requests back-off',
+                    server,
+                    rest_ms=reported.backoff_ms,
+                )
+            # A shorter back-off does not end a longer one.
             until_ms = now_ms + reported.backoff_ms
-            signals.needs_probe = True
-            signals.backoff_until_ms = max(signals.backoff_until_ms, until_ms)
+            state.needs_probe = True
+            state.backoff_until_ms = max(state.backoff_until_ms, until_ms)
         if reported.limit is not None:
             self._count('limit')
         if reported.is_own:
-            self.apply_limit(server, signals, reported.limit, sent_ms)
+            self.apply_limit(server, state, reported.limit, sent_ms)
         if reported.is_draining or reported.backoff_ms:
-            self._keep(server.id, signals)
+            self._store(server.id, state)
 
     def apply_limit(
         self,
         server: Server,
-        signals: SignalState,
+        state: SignalState,
         rate: float | None,
         reported_ms: int,
     ) -> bool:
-        """Take a word on a limit, by whomever; tell whether it changes it."""
-        before = signals.limit.rate
-        if not signals.limit.update(rate, reported_ms):
+        """Update the limit from any source; return whether it changed."""
+        before = state.limit.rate
+        if not state.limit.update(rate, reported_ms):
             return False
-        _tell('server names a limit', server, limit=rate, before=before)
-        self._keep(server.id, signals)
+        _log_signal('server limit changed', server, limit=rate, before=before)
+        self._store(server.id, state)
         return True
 
-    def _keep(self, server_id: str, signals: SignalState) -> None:
-        kept = self._by_id.get(server_id)
-        if kept is not None and kept.started_ms > signals.started_ms:
-            # An answer of an earlier life.
+    def _store(self, server_id: str, state: SignalState) -> None:
+        known = self._states.get(server_id)
+        if known is not None and known.started_ms > state.started_ms:
+            # The answer came from an earlier incarnation.
             return
-        self._by_id[server_id] = signals
-        if len(self._by_id) > _KEPT_MAX:
-            self._by_id.pop(next(iter(self._by_id)))
+        self._states[server_id] = state
+        if len(self._states) > _ENTRIES_MAX:
+            self._states.pop(next(iter(self._states)))
 
 
-def _tell(event: str, server: Server, **fields: object) -> None:
+def _log_signal(event: str, server: Server, **fields: object) -> None:
     _logger.info(
         event,
         extra={
--- a/seampond/forwarding/tests/test_signal_state.py
+++ b/seampond/forwarding/tests/test_signal_state.py
@@ -156,11 +156,11 @@
 
     def test_the_number_of_notices_is_bounded(self) -> None:
         """The oldest goes first."""
-        with patch.object(signal_state, '_KEPT_MAX', 2):
+        with patch.object(signal_state, '_ENTRIES_MAX', 2):
             for number in range(1, 5):
                 server = build_server(f'i-{number}')
                 self.backends.update([server], [])
                 backend = pick(self.backends, server.id)
                 self.backends.apply_signals(backend, _LEAVES, 0)
-        kept = self.backends._signals._by_id  # noqa: SLF001
+        kept = self.backends._signals._states  # noqa: SLF001
         self.assertEqual(list(kept), ['i-3', 'i-4'])
--- a/seampond/forwarding/versions.py
+++ b/seampond/forwarding/versions.py
@@ -1,4 +1,4 @@
-"""Which versions of the servers' software a request may go to."""
+"""Choice of servers by the version of their software."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -9,38 +9,38 @@
 
 
 class VersionPolicy(Protocol):
-    """Chooses among versions, and learns from what becomes of it."""
+    """Chooses versions and records the outcomes of attempts."""
 
     def group(
-        self, job: Job, known: Sequence[Backend]
+        self, job: Job, backends: Sequence[Backend]
     ) -> Sequence[Sequence[Backend]]:
-        """Give the servers to look at, those that come first before others."""
+        """Return groups of servers in order of preference."""
 
     def record_placement(self, backend: Backend) -> None:
-        """Note that a request was given a place on a server."""
+        """Record that a request acquired a slot of a server."""
 
     def record_attempt(
         self, job: Job, backend: Backend, record: AttemptRecord
     ) -> None:
-        """Note how a send to a server ended."""
+        """Record the outcome of an attempt."""
 
 
 class AnyVersion:
-    """Takes all servers alike."""
+    """Treats all versions alike."""
 
     def group(
-        self, job: Job, known: Sequence[Backend]
+        self, job: Job, backends: Sequence[Backend]
     ) -> Sequence[Sequence[Backend]]:
-        """Give all of them."""
-        return (known,)
+        """Return all servers as one group."""
+        return (backends,)
 
     def record_placement(self, backend: Backend) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def record_attempt(
         self, job: Job, backend: Backend, record: AttemptRecord
     ) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
 
 ANY_VERSION = AnyVersion()
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/versions.py
@@ -33,13 +33,13 @@
     rng: random.Random = field(default_factory=random.Random)
 
     def group(
-        self, job: Job, known: Sequence[Backend]
+        self, job: Job, backends: Sequence[Backend]
     ) -> Sequence[Sequence[Backend]]:
         """Give the servers to look at, those that come first before others."""
         is_fresh = not (job.attempts or job.has_streamed or job.last_event)
         draw = self.rng.random() if is_fresh else None
         return self.rollouts.group_backends(
-            job.pool, known, self.clock.now(), draw
+            job.pool, backends, self.clock.now(), draw
         )
 
     def record_placement(self, backend: Backend) -> None:
