--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -66,26 +66,26 @@
     Mechanism(
         'own hall first',
         'forwarding/cost_model.py',
-        '_OTHER_ZONE_PART = 0.02',
-        '_OTHER_ZONE_PART = 0.0',
+        '_OTHER_ZONE_FRACTION = 0.02',
+        '_OTHER_ZONE_FRACTION = 0.0',
     ),
     Mechanism(
         'time to make the answer',
         'forwarding/cost_model.py',
-        '_MADE_PART = 0.1',
-        '_MADE_PART = 0.0',
+        '_GENERATION_WEIGHT = 0.1',
+        '_GENERATION_WEIGHT = 0.0',
     ),
     Mechanism(
         'long prompts away from streams',
         'forwarding/cost_model.py',
-        '_STALL_MS = 60.0',
-        '_STALL_MS = 0.0',
+        '_STALL_COST_MS = 60.0',
+        '_STALL_COST_MS = 0.0',
     ),
     Mechanism(
         'patience',
         'forwarding/scheduler.py',
-        '_PATIENCE = 0.21',
-        '_PATIENCE = 0.0',
+        '_MAX_WAIT_FRACTION = 0.21',
+        '_MAX_WAIT_FRACTION = 0.0',
     ),
     Mechanism(
         'only where the answer begins in time',
@@ -96,8 +96,8 @@
     Mechanism(
         'places beyond the slots',
         'forwarding/scheduler.py',
-        '_EXTRA_PLACES = 2',
-        '_EXTRA_PLACES = 0',
+        '_EXTRA_SLOTS = 2',
+        '_EXTRA_SLOTS = 0',
     ),
     Mechanism(
         'retries kept for broken streams',
--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of one server."""
+"""The state of one server as this gateway knows it."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -10,15 +10,25 @@
 from seampond.forwarding.signal_state import SignalState
 from seampond.forwarding.speeds import Speed
 
-_FIRST_PAUSE_MS = 250
-_LONGEST_PAUSE_MS = 4000
+_MIN_PAUSE_MS = 250
+_MAX_PAUSE_MS = 4000
 _REPLACED_PAUSE_MS = 4000
-_REPORT_AGE_MS = 1500
+_MAX_DOUBLINGS = 4
+_MAX_REPORT_AGE_MS = 1500
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's word on its load, and when it came."""
+    """A server's report of its load.
+
+    Parameters
+    ----------
+    own : int
+        How many of its requests are from this gateway.
+    at_ms : int
+        When the report arrived.
+
+    """
 
     running: int
     waiting: int
@@ -28,13 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoteLoad:
-    """What the other gateways together have on a server.
+    """The load of the other gateways together on a server.
 
     Parameters
     ----------
     running, pending_tokens : int
-        Their requests, and the tokens to be read for those that wait for
-        their first byte.
+        Their requests, and the prompt tokens to be processed for those that
+        wait for their first byte.
+    at_ms : int
+        When the report arrived.
 
     """
 
@@ -45,31 +57,31 @@
 
 @dataclass(slots=True)
 class Backend:
-    """One server: the list's word, our own experience, our connections.
+    """One server: its row, signals, observed state and connections.
 
     Parameters
     ----------
     signals : SignalState
-        What it has said of itself in its answers.
+        State from the signals in its responses.
     fallback_until_ms : int
-        Until when it is a fallback, its row having gone without a word
-        of its leave: rows also go while the store is down.
+        Until when it is used as a fallback after its row has gone without
+        notice; rows also lapse while the store is unreachable.
     is_readable : bool
-        Whether its row names it, as far as it can be read.
+        Whether its row can be read.
     cold_until_ms : int
-        Until when it is slow from its start.
+        Until when it is slow after its start.
     remote_load : RemoteLoad or None
-        What the other gateways have there, as they told us.
+        Load of the other gateways, as they reported it.
     running : Counter[int]
-        Our requests there, by fingerprint.
+        This gateway's requests there, by fingerprint.
     suspect_count, trial_count : int
-        How many of ours there may end it, and how many of them are tried on
-        leave.
+        How many of these are suspected of crashing servers, and how many
+        run as trials.
     is_probing : bool
-        Whether a request of ours is there to find out if it is well again.
+        Whether a request there probes if the server has recovered.
     unanswered : dict[bytes, tuple[int, int]]
-        By request, those of ours that wait for the first byte: since when,
-        and how many tokens are to be read for them.
+        Requests of this gateway that wait for the first byte, in the order
+        of sending: since when, and their pending tokens.
 
     """
 
@@ -96,22 +108,22 @@
 
     @property
     def own_pending_tokens(self) -> int:
-        """The tokens to be read for ours that wait for the first byte."""
+        """Pending tokens of this gateway's requests."""
         return sum(tokens for _, tokens in self.unanswered.values())
 
     @property
     def takes_work(self) -> bool:
-        """Whether the list and its own words let us send to it."""
-        is_set = self.is_listed and self.is_readable
-        return is_set and not self.is_draining
+        """Whether it is listed and does not drain."""
+        is_known = self.is_listed and self.is_readable
+        return is_known and not self.is_draining
 
     @property
     def is_draining(self) -> bool:
-        """Whether its row or an answer of it has said that it leaves."""
+        """Whether its row or a response has announced that it drains."""
         return self.server.is_draining or self.signals.is_draining
 
     def may_serve(self, now_ms: int) -> bool:
-        """Whether it serves, if only as a fallback, and maybe after a rest."""
+        """Return True if it serves, as a fallback or after a back-off too."""
         if self.takes_work:
             return True
         if self.server.is_draining or not self.is_readable:
@@ -121,48 +133,47 @@
         return now_ms < self.fallback_until_ms
 
     def may_send(self, now_ms: int) -> bool:
-        """Whether it may be sent to now, if only as a fallback."""
+        """Return True if it may be sent to now, if only as a fallback."""
         return self.may_serve(now_ms) and not self.signals.is_backing_off(
             now_ms
         )
 
     def is_restricted(self, now_ms: int) -> bool:
-        """Whether a limit or a rest keeps requests from it."""
+        """Return True if it has a limit or backs off."""
         return self.signals.limit.is_set or self.signals.is_backing_off(now_ms)
 
     def may_send_without_permit(self, now_ms: int) -> bool:
-        """Whether nothing but its load closes its places."""
+        """Return True if it may be sent to now and has no limit."""
         return self.may_send(now_ms) and not self.signals.limit.is_set
 
     def is_usable(self, now_ms: int) -> bool:
-        """Whether to send to it now."""
-        is_taken = self.signals.needs_probe and self.is_probing
+        """Return True if it may be sent to and is neither paused nor probed."""
+        is_probed = self.signals.needs_probe and self.is_probing
         is_paused = now_ms < self.paused_until_ms
-        return self.may_send(now_ms) and not (is_taken or is_paused)
+        return self.may_send(now_ms) and not (is_probed or is_paused)
 
     def load(self, now_ms: int) -> int:
-        """Estimate the requests that it holds, ours and others'."""
-        others, report = self.remote_load, self.report
-        told = others.running if others else 0
-        told_ms = others.at_ms if others else 0
-        is_recent = report and now_ms - report.at_ms < _REPORT_AGE_MS
-        if report and is_recent and report.at_ms > told_ms:
-            told = report.running + report.waiting - report.own
-        return self.in_flight + max(0, told)
+        """Estimate the number of requests on it from all gateways."""
+        remote, report = self.remote_load, self.report
+        running = remote.running if remote else 0
+        remote_ms = remote.at_ms if remote else 0
+        is_recent = report and now_ms - report.at_ms < _MAX_REPORT_AGE_MS
+        if report and is_recent and report.at_ms > remote_ms:
+            running = report.running + report.waiting - report.own
+        return self.in_flight + max(0, running)
 
     def pending_tokens(self, now_ms: int) -> int:
-        """Estimate the tokens that wait there to be read."""
+        """Estimate the prompt tokens that it has yet to process."""
         own = self.own_pending_tokens
-        others = self.remote_load
-        if others and now_ms - others.at_ms < _REPORT_AGE_MS:
-            return own + others.pending_tokens
+        remote = self.remote_load
+        if remote and now_ms - remote.at_ms < _MAX_REPORT_AGE_MS:
+            return own + remote.pending_tokens
         return own
 
     def longest_wait_ms(self, now_ms: int) -> int:
-        """Give how long one of ours has waited there for its first byte."""
+        """Return how long the oldest request has waited for its first byte."""
         if not self.unanswered:
             return 0
-        # They are kept in the order of their sends.
         since_ms, _ = next(iter(self.unanswered.values()))
         return now_ms - since_ms
 
@@ -170,7 +181,7 @@
     def run(
         self, fingerprint: int, *, is_suspect: bool, is_trial: bool
     ) -> Iterator[None]:
-        """Count a request as running here until the end of the `with`."""
+        """Count a request as running within the context."""
         self.running[fingerprint] += 1
         self.suspect_count += is_suspect
         self.trial_count += is_trial
@@ -180,43 +191,43 @@
             self._end_run(fingerprint, is_suspect=is_suspect, is_trial=is_trial)
 
     def record_dispatch(self) -> None:
-        """Note that a request of ours is to be sent there."""
+        """Record that a request got a slot."""
         self.in_flight += 1
         self.is_probing = self.signals.needs_probe
 
     def record_release(self) -> None:
-        """Note that a request of ours is there no more."""
+        """Record that a request has released its slot."""
         self.in_flight -= 1
         self.is_probing = False
 
     def record_success(self) -> None:
-        """Note a sound answer."""
+        """Record a successful response."""
         self.consecutive_failures = 0
         self.paused_until_ms = 0
 
     def record_failure(self, now_ms: int, least: int = 1) -> None:
-        """Note a failure; after `least` in a row, pause, longer each time."""
+        """Record a failure; from `least` in a row on, pause with back-off."""
         self.consecutive_failures += 1
         if self.consecutive_failures < least:
             return
-        exponent = min(self.consecutive_failures - least, 4)
-        pause_ms = min(_LONGEST_PAUSE_MS, _FIRST_PAUSE_MS << exponent)
+        exponent = min(self.consecutive_failures - least, _MAX_DOUBLINGS)
+        pause_ms = min(_MAX_PAUSE_MS, _MIN_PAUSE_MS << exponent)
         self.paused_until_ms = now_ms + pause_ms
 
     def record_replacement(self, now_ms: int) -> None:
-        """Note that another server answers at its address.
+        """Record that another server answers at its address.
 
         Explanation
         -----------
-        A server that starts again has a new id, and the row of the old one
-        stays until it lapses.  The pause ends by itself, should the answer
-        have been wrong.
+        A restarted server has a new id, and the row of the old one stays
+        until it lapses.  The pause ends by itself in case the response was
+        wrong.
         """
         self.consecutive_failures += 1
         self.paused_until_ms = now_ms + _REPLACED_PAUSE_MS
 
     def close_idle_connections(self) -> None:
-        """Close the connections that rest."""
+        """Close the idle connections."""
         for connection in self.idle:
             connection.close()
             self.connection_count -= 1
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -1,4 +1,4 @@
-"""The servers that a gateway knows."""
+"""The servers that a gateway knows, by id and by pool."""
 
 import logging
 import sys
@@ -15,51 +15,54 @@
 from seampond.forwarding.signal_state import SignalRegistry
 from seampond.forwarding.speeds import PoolSpeed
 
-_CONNECT_MS = 300
+_CONNECT_TIMEOUT_MS = 300
 _logger = logging.getLogger(__name__)
 
 
-def _no_bound(pool: str) -> int:
-    """Allow connections without a bound."""
+def _no_limit(pool: str) -> int:
+    """Allow any number of connections."""
     return sys.maxsize
 
 
 def _count_nothing(word: str) -> None:
-    """Count no words."""
+    """Count nothing."""
 
 
-def _tell_nobody(key: int, limit: ServerLimit, *, is_other: bool) -> None:
-    """Tell nobody of a limit."""
+def _ignore_limit(key: int, limit: ServerLimit, *, has_changed: bool) -> None:
+    """Ignore the limit."""
 
 
 class LimitCallback(Protocol):
-    """Told of what an answer says of a limit."""
+    """Called with the limit that a response has reported."""
 
-    def __call__(self, key: int, limit: ServerLimit, *, is_other: bool) -> None:
-        """Note it, by the key of the life."""
+    def __call__(
+        self, key: int, limit: ServerLimit, *, has_changed: bool
+    ) -> None:
+        """Handle the limit of the server incarnation with this key."""
 
 
 class Backends:
-    """All servers that a gateway knows, by their id.
+    """All servers that a gateway knows.
 
     Parameters
     ----------
     id_header : bytes
-        The header that every answer of a server carries back.
+        The request header that every response carries back.
     grace_ms : int
-        How long a server whose row has gone is a fallback, and one that has
-        said that it leaves a last resort.
+        How long a server is used as a fallback after its row has gone, and
+        as a last resort after it has announced that it drains.
     connection_limit : Callable[[str], int]
-        Gives how many connections we may have to each server of a pool.
+        Return how many connections this gateway may have to each server of
+        a pool.
     hash_name : Callable[[str], int]
-        Gives the key by which other gateways tell of a server's life.
+        Return the key that identifies a server incarnation among gateways.
     count_signal : Callable[[str], None]
         Counts an answer with a word of its server on itself.
 
     Attributes
     ----------
     on_limit : LimitCallback
-        Told of the limits of servers that have named one.
+        Called when a response has reported a limit or its end.
 
     """
 
@@ -68,71 +71,70 @@
         clock: Clock,
         id_header: bytes,
         grace_ms: int = 0,
-        connection_limit: Callable[[str], int] = _no_bound,
+        connection_limit: Callable[[str], int] = _no_limit,
         hash_name: Callable[[str], int] = hash,
         count_signal: Callable[[str], None] = _count_nothing,
     ) -> None:
-        """Start with none."""
+        """Start without servers."""
         self.connection_limit = connection_limit
         self.grace_ms = grace_ms
-        self.on_limit: LimitCallback = _tell_nobody
+        self.on_limit: LimitCallback = _ignore_limit
         self._clock = clock
         self._id_header = id_header
         self._hash_name = hash_name
         self._signals = SignalRegistry(count_signal, clock)
         self._by_id: dict[str, Backend] = {}
         self._by_key: dict[int, Backend] = {}
-        # What the others have, where they have anything.
-        self._told: dict[int, RemoteLoad] = {}
+        self._remote_loads: dict[int, RemoteLoad] = {}
         self._by_pool: dict[str, list[Backend]] = {}
         self._speeds: dict[str, PoolSpeed] = {}
 
     def __len__(self) -> int:
-        """Give how many are known."""
+        """Return the number of known servers."""
         return len(self._by_id)
 
     def __iter__(self):  # type: ignore[no-untyped-def]
-        """Give all of them."""
+        """Iterate over all servers."""
         return iter(list(self._by_id.values()))
 
     def get(self, server_id: str) -> Backend | None:
-        """Give one of them."""
+        """Return a server, None if it is not known."""
         return self._by_id.get(server_id)
 
     def update_remote_loads(self, loads: Mapping[int, RemoteLoad]) -> None:
-        """Take what the other gateways have, where somebody told it anew.
+        """Apply reports of the load of the other gateways.
 
         Parameters
         ----------
         loads : Mapping[int, RemoteLoad]
-            By key of the server's life.
+            By key of the server incarnation; unchanged ones are left out.
 
         """
-        for key, told in loads.items():
-            # The row of a server may come later than the word on it.
-            self._told[key] = told
+        for key, load in loads.items():
+            # A report may arrive before the row of its server.
+            self._remote_loads[key] = load
             backend = self._by_key.get(key)
             if backend is not None:
-                backend.remote_load = told
-            if not told.running:
-                self._told.pop(key)
+                backend.remote_load = load
+            if not load.running:
+                self._remote_loads.pop(key)
 
     def pool_speed(self, pool: str) -> PoolSpeed:
-        """Give what is known of the speed of a pool."""
+        """Return the average speeds of a pool."""
         return self._speeds.setdefault(pool, PoolSpeed())
 
     def refresh_pool_speed(self, pool: str) -> PoolSpeed:
-        """Take the pool's speed anew from its servers'."""
+        """Recompute the speeds of a pool from those of its servers."""
         speed = self.pool_speed(pool)
         speed.refresh(backend.speed for backend in self.in_pool(pool))
         return speed
 
     def in_pool(self, pool: str) -> list[Backend]:
-        """Give the servers of one pool, the fallbacks among them."""
+        """Return the servers of a pool, fallbacks included."""
         return self._by_pool.get(pool, [])
 
     def all_in_pool(self, pool: str) -> list[Backend]:
-        """Give all servers of a pool, also those that have only open work."""
+        """Return all servers of a pool, with those that only finish requests."""
         return [
             backend
             for backend in self._by_id.values()
@@ -140,39 +142,39 @@
         ]
 
     def update(self, servers: Iterable[Server], gone: Iterable[str]) -> None:
-        """Take changes of the list."""
+        """Apply changed rows and remove servers whose rows have gone."""
         for server in servers:
             backend = self._by_id.get(server.id)
             if backend is None:
                 self._add(server)
             else:
-                self._take_known(backend, server)
+                self._update_known(backend, server)
         for server_id in gone:
-            self._unlist(server_id)
+            self._remove_listing(server_id)
         self._index()
 
-    def mark_unreadable(self, names: Iterable[str]) -> None:
-        """Send nothing to servers whose rows cannot be read, for now.
+    def mark_unreadable(self, server_ids: Iterable[str]) -> None:
+        """Stop sending to servers whose rows cannot be read.
 
         Explanation
         -----------
-        Another writer may have spoiled the row; the server has not left, and
-        its own next word puts it back.
+        Another writer may have corrupted the row.  The server still runs, and
+        its next write restores the row.
         """
-        for name in names:
-            backend = self._by_id.get(name)
+        for server_id in server_ids:
+            backend = self._by_id.get(server_id)
             if backend is not None:
                 backend.is_readable = False
 
     def replace_all(
         self, servers: Iterable[Server], unreadable: Iterable[str] = ()
     ) -> None:
-        """Take the whole list; what is not on it is gone.
+        """Apply a complete list of rows; servers that are not on it are gone.
 
         Parameters
         ----------
         unreadable : Iterable[str]
-            Whose rows are there and cannot be read.
+            Ids of servers whose rows exist but cannot be read.
 
         """
         listed = list(servers)
@@ -182,7 +184,7 @@
     def apply_signals(
         self, backend: Backend, reported: ServerSignals, sent_ms: int
     ) -> None:
-        """Take what a server says of itself in an answer.
+        """Apply the signals in a response of a server.
 
         Parameters
         ----------
@@ -197,19 +199,19 @@
         )
         if limit.reported_ms == sent_ms:
             key = self._hash_name(backend.server.incarnation)
-            self.on_limit(key, limit, is_other=limit.rate != before)
+            self.on_limit(key, limit, has_changed=limit.rate != before)
         if reported.is_draining:
             backend.close_idle_connections()
 
     def apply_limit_report(
         self, key: int, rate: float | None, reported_ms: int
     ) -> ServerLimit | None:
-        """Take what another gateway has heard of a limit; give what holds.
+        """Apply another gateway's report of a limit; return the limit in force.
 
         Parameters
         ----------
         key : int
-            Of the server's life.
+            Key of the server incarnation.
 
         """
         backend = self._by_key.get(key)
@@ -220,7 +222,7 @@
         return signals.limit
 
     async def acquire_connection(self, backend: Backend) -> Connection:
-        """Give a connection to a server, a rested one if there is any.
+        """Return a connection to a server, an idle one if there is any.
 
         Raises
         ------
@@ -235,7 +237,10 @@
             connection.close()
             backend.connection_count -= 1
         connection = await open_connection(
-            backend.server.address, self._clock, self._id_header, _CONNECT_MS
+            backend.server.address,
+            self._clock,
+            self._id_header,
+            _CONNECT_TIMEOUT_MS,
         )
         backend.connection_count += 1
         return connection
@@ -246,7 +251,7 @@
         connection: Connection,
         keep_alive_ms: int | None,
     ) -> None:
-        """Keep a connection for the next request, or close it."""
+        """Keep a connection for the next request or close it."""
         backoff_ms = keep_alive_ms if backend.takes_work else None
         if connection.finish(backoff_ms):
             backend.idle.append(connection)
@@ -254,48 +259,48 @@
             backend.connection_count -= 1
 
     def _add(self, server: Server) -> None:
-        told = self._told.get(self._hash_name(server.incarnation))
+        load = self._remote_loads.get(self._hash_name(server.incarnation))
         signals = self._signals.state_of(server)
         self._signals.apply_row(server, signals)
         self._by_id[server.id] = Backend(
             server,
             signals,
-            remote_load=told,
+            remote_load=load,
             cold_until_ms=self._clock.now() + server.cold_ms,
         )
-        self._tell('server listed', server)
+        self._log('server listed', server)
 
-    def _take_known(self, backend: Backend, server: Server) -> None:
+    def _update_known(self, backend: Backend, server: Server) -> None:
         known_ms = backend.server.started_ms
-        told_ms = server.started_ms or known_ms
-        if 0 < known_ms < told_ms:
-            self._end_life(backend)
+        reported_ms = server.started_ms or known_ms
+        if 0 < known_ms < reported_ms:
+            self._retire(backend)
             self._add(server)
-        elif told_ms >= known_ms:
+        elif reported_ms >= known_ms:
             if backend.server.is_draining != server.is_draining:
-                self._tell('server leaves', server)
-            backend.server = replace(server, started_ms=told_ms)
-            backend.signals.started_ms = told_ms
+                self._log('server leaves', server)
+            backend.server = replace(server, started_ms=reported_ms)
+            backend.signals.started_ms = reported_ms
             self._signals.apply_row(server, backend.signals)
             backend.is_listed = True
             backend.is_readable = True
-        # Else a row of an earlier life has come late.
+        # Otherwise the row of an earlier incarnation has arrived late.
 
-    def _end_life(self, backend: Backend) -> None:
-        """Forget what is believed of a life that is over.
+    def _retire(self, backend: Backend) -> None:
+        """Retire the state of an earlier incarnation.
 
         Explanation
         -----------
-        Failures, reports, kept prompts and speed of the earlier process say
-        nothing of the new one.  Requests that are open towards it hold on to
-        the old belief, which gets no new ones.
+        Failures, reports, cached prompts and speeds of the earlier process do
+        not apply to the new one.  Open requests keep the old state, which
+        gets no new ones.
         """
         backend.is_listed = False
         backend.fallback_until_ms = 0
         backend.close_idle_connections()
-        self._tell('server started again', backend.server)
+        self._log('server started again', backend.server)
 
-    def _unlist(self, server_id: str) -> None:
+    def _remove_listing(self, server_id: str) -> None:
         backend = self._by_id.get(server_id)
         if backend is None or not backend.is_listed:
             return
@@ -303,7 +308,7 @@
         if not backend.is_draining:
             backend.fallback_until_ms = self._clock.now() + self.grace_ms
         backend.close_idle_connections()
-        self._tell('server gone', backend.server)
+        self._log('server gone', backend.server)
 
     def _index(self) -> None:
         now_ms = self._clock.now()
@@ -324,7 +329,7 @@
                 by_pool.setdefault(backend.server.pool, []).append(backend)
         self._by_pool = by_pool
 
-    def _tell(self, event: str, server: Server) -> None:
+    def _log(self, event: str, server: Server) -> None:
         _logger.info(
             event,
             extra={
--- a/seampond/forwarding/job.py
+++ b/seampond/forwarding/job.py
@@ -1,4 +1,4 @@
-"""One request of a caller, as a gateway holds it."""
+"""A caller's request while a gateway handles it."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,16 @@
 
 @dataclass(slots=True)
 class Prompt:
-    """What a request asks of an engine, in tokens."""
+    """The size of a request for an engine.
+
+    Parameters
+    ----------
+    tokens, answer_tokens : int
+        Tokens of the prompt, and at most of the answer.
+    parts : tuple[tuple[str, int], ...]
+        Name and tokens of each part of the prompt that a server may cache.
+
+    """
 
     tokens: int = 0
     answer_tokens: int = 0
@@ -23,7 +32,7 @@
 
 
 def parse_prompt(tokens: bytes, parts: bytes) -> Prompt:
-    """Read the two headers that describe a prompt; zeros where unreadable.
+    """Parse the two headers that describe a prompt; zeros if malformed.
 
     Examples
     --------
@@ -33,48 +42,50 @@
     0
 
     """
-    read, _, made = tokens.decode('latin-1').partition(',')
-    prompt = Prompt(_whole(read), _whole(made))
+    prompt_size, _, answer_size = tokens.decode('latin-1').partition(',')
+    prompt = Prompt(_parse_count(prompt_size), _parse_count(answer_size))
     split = [part.partition(':') for part in parts.decode('latin-1').split(',')]
     prompt.parts = tuple(
-        (name.strip(), _whole(size)) for name, _, size in split if name.strip()
+        (name.strip(), _parse_count(size))
+        for name, _, size in split
+        if name.strip()
     )
     return prompt
 
 
-def _whole(text: str) -> int:
+def _parse_count(text: str) -> int:
     stripped = text.strip()
     return int(stripped) if stripped.isdecimal() else 0
 
 
 @dataclass(slots=True)
 class Job:
-    """A request that was let in.
+    """An admitted request.
 
     Parameters
     ----------
     target : bytes
         Path and query, byte for byte as the caller sent them.
     max_wait_ms : int
-        How long the caller said that it waits, from `arrived_ms`.
+        How long the caller waits for the response, from `arrived_ms`.
     deadline_ms : int
-        When the final answer is due.
+        When the complete response is due.
     is_retry : bool
-        Whether the caller seems to have been turned away before.
+        Whether the caller seems to have been refused before.
     has_streamed : bool
-        Whether the caller has a part of its stream.
+        Whether the caller has received a part of its stream.
     fingerprint : int
-        The key of path, workspace and body, which a caller that comes again
-        has in common with its first try.
+        Hash of method, host, path, workspace and body, the same for a retry.
     crash_count : int
-        How many servers have ended under it, in this and earlier tries.
+        Number of servers that crashed while they ran it, earlier tries
+        included.
     is_concurrent_duplicate : bool
-        Whether the same request is under way here and had no good answer.
+        Whether the same request is running in this gateway and has not
+        succeeded yet.
     is_trial : bool
-        Whether it has leave to be sent once although it is in quarantine.
+        Whether it may be sent once although it is in quarantine.
     permit : Permit or None
-        Its leave to be sent to the server where it has a place, if that one
-        has a limit.
+        Permit for the server where it has a slot, if that one has a limit.
 
     """
 
@@ -105,10 +116,10 @@
 
     @property
     def session(self) -> str:
-        """The last part of the prompt, which belongs to one session."""
+        """The last part of the prompt, which is specific to one session."""
         return self.prompt.parts[-1][0] if self.prompt.parts else ''
 
     @property
     def is_stream(self) -> bool:
-        """Whether the answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self.route.kind is RequestKind.stream
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -1,4 +1,4 @@
-"""Places for requests on servers, and the queue of those that wait."""
+"""Assignment of requests to servers, and queues for those that wait."""
 
 import asyncio
 import random
@@ -17,47 +17,47 @@
 from seampond.forwarding.versions import ANY_VERSION, VersionPolicy
 from seampond.promises import Promises, Rule
 
-# A refusal within a quarter of the target leaves time for another try.
-_PATIENCE = 0.21
-# A caller bears a gap of two seconds in its stream.
-_RESUME_PATIENCE_MS = 1500
-_LOOK_AGAIN_MS = 100
-_QUEUE_MAX = 500
-_EXTRA_PLACES = 2
-# Below this part of their slots the servers of a pool have room to spare.
-_ROOM_PART = 0.75
-# How many servers of a pool are looked at for one request.
-_LOOKED_AT = 48
+# Fraction of the target latency: an early refusal leaves time for a retry.
+_MAX_WAIT_FRACTION = 0.21
+# Callers tolerate gaps of two seconds in their streams.
+_RESUME_MAX_WAIT_MS = 1500
+_CHECK_INTERVAL_MS = 100
+_MAX_QUEUE_LENGTH = 500
+_EXTRA_SLOTS = 2
+# Below this fraction of their slots the servers have spare capacity.
+_SPARE_FRACTION = 0.75
+# Bounds the work for one request in a large pool.
+_MAX_CANDIDATES = 48
 _STEP = 'place'
 
 RetryAfterFunction = Callable[[Job, int, float], int]
 
 
 class Scheduler:
-    """Gives each request a place on a server, the most urgent first.
+    """Assign a slot on a server to each request, the most urgent first.
 
     Explanation
     -----------
-    Who ranks higher goes first, then the more urgent kind of work, then
-    streams that were broken off, then who was turned away before, then who is
-    due first.  Nobody waits longer than a quarter of the target, but for
-    those streams; with one that has to give up, all that rank below it are
-    turned away, and so is the last of a queue that is full.
+    Requests are ordered by tier, then by the priority of their route, then
+    interrupted streams come first, then retries, then those whose target
+    latency ends first.  Only interrupted streams wait longer than a fraction
+    of the target latency.  When a request times out, all requests of lower
+    tiers are refused with it; so is the last request of a full queue.
 
     Parameters
     ----------
     count_gateways : Callable[[], int]
-        How many gateways share the servers.
+        Return the number of gateways that share the servers.
     versions : VersionPolicy
-        Which versions of the servers' software a request may go to.
+        Selects the versions of the servers' software for a request.
     compute_retry_ms : RetryAfterFunction
-        After how long who is turned away should come back, by the request,
-        the time and a number drawn from 0 to 1.
+        Return after how many milliseconds a refused caller should retry, by
+        request, current time and a random number from 0 to 1.
 
     Attributes
     ----------
     availability : Availability
-        Tells when servers that rest or name a limit take requests.
+        Availability of servers that back off or have a limit.
 
     """
 
@@ -71,7 +71,7 @@
         versions: VersionPolicy = ANY_VERSION,
         compute_retry_ms: RetryAfterFunction = spread_retry_ms,
     ) -> None:
-        """Start with nobody waiting."""
+        """Start with empty queues."""
         self._backends = backends
         self._zone = zone
         self._clock = clock
@@ -85,51 +85,51 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """The number of queued requests."""
         return sum(len(queue.waiters) for queue in self._queues.values())
 
     def has_spare_capacity(self, pool: str) -> bool:
-        """Whether the servers of a pool have places that nobody waits for."""
+        """Return True if a pool has an empty queue and many free slots."""
         queue = self._queues.get(pool)
         if queue is not None and queue.waiters:
             return False
         now_ms = self._clock.now()
-        known = [
-            one
-            for one in self._draw(pool)
-            if one.may_send_without_permit(now_ms)
+        candidates = [
+            backend
+            for backend in self._draw_candidates(pool)
+            if backend.may_send_without_permit(now_ms)
         ]
-        slots = sum(backend.server.slots for backend in known)
-        loads = (backend.load(now_ms) for backend in known)
-        return sum(loads) < slots * _ROOM_PART
+        slots = sum(backend.server.slots for backend in candidates)
+        loads = (backend.load(now_ms) for backend in candidates)
+        return sum(loads) < slots * _SPARE_FRACTION
 
     async def acquire(self, job: Job, avoid: set[str]) -> Backend:
-        """Wait for a place on a server.
+        """Wait for a slot on a server.
 
         Parameters
         ----------
         avoid : set[str]
-            Servers that this request was already sent to.
+            Servers that were tried for the request already.
 
         Returns
         -------
         Backend
-            With the request counted as running there.
+            The server, on which the request is counted as running.
 
         Raises
         ------
         Refusal
-            If there is none in time; the request was not sent.
+            If no slot is free in time; the request was not sent.
 
         """
         queue = self._queues.setdefault(job.pool, Queue())
         queue.headroom.record(job)
         if not queue.waiters:
-            backend = self._find(job, avoid)
+            backend = self._find_backend(job, avoid)
             if backend is not None:
-                return self._occupy(backend, job)
-        waiter = queue.add(job, avoid, self._give_patience(job))
-        self._shed_last(queue)
+                return self._claim_slot(backend, job)
+        waiter = queue.add(job, avoid, self._wait_until_ms(job))
+        self._shed_overflow(queue)
         try:
             return await self._wait(waiter)
         except asyncio.CancelledError:
@@ -145,132 +145,139 @@
             queue.remove(waiter)
 
     def release(self, backend: Backend) -> None:
-        """Give a place back and hand it on."""
+        """Release a slot and assign it to the next waiter."""
         backend.record_release()
         self.assign_slots(backend.server.pool)
 
     def assign_slots(self, pool: str) -> None:
-        """Give free places of a pool to those that wait."""
+        """Assign free slots of a pool to queued requests."""
         queue = self._queues.get(pool)
         if queue is None:
             return
         if not queue.waiters:
             return
-        known = self._list_open(pool)
+        candidates = self._list_open_backends(pool)
         for waiter in list(queue.waiters):
-            if not known:
+            if not candidates:
                 return
             if waiter.slot.done():
                 continue
-            backend = self._find(waiter.job, waiter.avoid, known)
+            backend = self._find_backend(waiter.job, waiter.avoid, candidates)
             if backend is not None:
                 queue.waiters.remove(waiter)
-                waiter.slot.set_result(self._occupy(backend, waiter.job))
+                waiter.slot.set_result(self._claim_slot(backend, waiter.job))
 
     def process_queues(self) -> None:
-        """Look at every queue again, after the servers have changed."""
+        """Process every queue, after the servers have changed."""
         for pool in self._queues:
             self.process_queue(pool)
 
     def process_queue(self, pool: str) -> None:
-        """Ask for permits, give free places, end waits that are in vain."""
+        """Request permits, assign free slots and end hopeless waits."""
         queue = self._queues.get(pool)
         if queue is None or not queue.waiters:
             return
         now_ms = self._clock.now()
-        known = self._draw(pool)
+        candidates = self._draw_candidates(pool)
         queue.next_check_ms = None
-        if not any(backend.is_restricted(now_ms) for backend in known):
+        if not any(backend.is_restricted(now_ms) for backend in candidates):
             self.assign_slots(pool)
             return
-        capacity = self._measure_capacity(pool, 0)
+        capacity = self._capacity_limits(pool, 0)
         self.availability.request_permits(
-            queue, [one for one in known if capacity.accepts(one, now_ms)]
+            queue,
+            [
+                backend
+                for backend in candidates
+                if capacity.accepts(backend, now_ms)
+            ],
         )
         self.assign_slots(pool)
-        queue.next_check_ms = self.availability.next_check_ms(known)
-        for waiter in self.availability.find_hopeless(queue, known):
-            self._end_wait(queue, waiter)
+        queue.next_check_ms = self.availability.next_check_ms(candidates)
+        for waiter in self.availability.find_hopeless(queue, candidates):
+            self._refuse_hopeless(queue, waiter)
 
     async def reserve_retry_ms(self, job: Job) -> int:
-        """Give when a request should come back, and have a permit kept for it.
+        """Return when a refused caller should retry, and reserve a permit.
 
         Explanation
         -----------
-        Only where all servers have given what their limits allow.  Where who
-        keeps their buckets does not answer, the time is no more than likely.
+        A permit is reserved only where limits or back-off make all servers
+        unavailable.  If no issuer replies, the time is an estimate.
         """
-        known = self._backends.in_pool(job.pool)
-        if self.availability.earliest_available_ms(known) is not None:
-            wait_ms = await self.availability.reserve(known)
+        candidates = self._backends.in_pool(job.pool)
+        if self.availability.earliest_available_ms(candidates) is not None:
+            wait_ms = await self.availability.reserve(candidates)
             if wait_ms is not None:
                 return wait_ms
         return self.compute_retry_after_ms(job)
 
     def compute_retry_after_ms(self, job: Job) -> int:
-        """Give when a request that is turned away should come back.
+        """Return after how many milliseconds a refused caller should retry.
 
         Explanation
         -----------
-        Where all servers rest or have given what their limits allow, not
-        before the first of them opens: who came sooner would be turned away
-        once more.  From a rest they come back spread over the target, as they
-        do elsewhere; with limits no faster than these allow.
+        Where all servers back off or have exhausted their limits, no caller
+        retries before the first becomes available.  After that, retries are
+        spread over the target latency, or spaced by the limits if there are
+        any.
         """
         now_ms, draw = self._clock.now(), self._rng.random()
-        known = self._backends.in_pool(job.pool)
-        available_ms = self.availability.earliest_available_ms(known)
+        candidates = self._backends.in_pool(job.pool)
+        available_ms = self.availability.earliest_available_ms(candidates)
         if available_ms is None:
             return self._compute_retry_ms(job, now_ms, draw)
-        rate = self.availability.total_rate(known) / max(
+        own_rate = self.availability.total_rate(candidates) / max(
             1, self._count_gateways()
         )
-        if rate:
+        if own_rate:
             queue = self._queues.setdefault(job.pool, Queue())
-            later_ms = queue.retry_schedule.reserve(available_ms, rate) - now_ms
+            later_ms = (
+                queue.retry_schedule.reserve(available_ms, own_rate) - now_ms
+            )
         else:
             later_ms = available_ms - now_ms + round(draw * job.route.target_ms)
         return max(1, later_ms)
 
-    def _occupy(self, backend: Backend, job: Job) -> Backend:
+    def _claim_slot(self, backend: Backend, job: Job) -> Backend:
         job.permit = self.availability.acquire_permit(backend, job)
         backend.record_dispatch()
         self._versions.record_placement(backend)
         return backend
 
-    def _find(
-        self, job: Job, avoid: set[str], known: list[Backend] | None = None
+    def _find_backend(
+        self, job: Job, avoid: set[str], candidates: list[Backend] | None = None
     ) -> Backend | None:
-        """Give the server that suits a request best, None for no place.
+        """Return the best server for a request, None if none has a slot.
 
         Parameters
         ----------
-        known : list[Backend] or None
-            The servers to choose from, None for the pool's.
+        candidates : list[Backend] or None
+            The servers to choose from, None to draw from the pool.
 
         """
-        if known is None:
-            known = self._draw(job.pool)
-        capacity = self._measure_capacity(job.pool, self._free_part(job))
-        for group in self._versions.group(job, known):
-            found = self._find_best(job, avoid, group, capacity)
+        if candidates is None:
+            candidates = self._draw_candidates(job.pool)
+        capacity = self._capacity_limits(job.pool, self._reserved_fraction(job))
+        for group in self._versions.group(job, candidates):
+            found = self._find_best_of(job, avoid, group, capacity)
             if found is not None:
                 return found
         return None
 
-    def _find_best(
+    def _find_best_of(
         self,
         job: Job,
         avoid: set[str],
-        known: Sequence[Backend],
+        candidates: Sequence[Backend],
         capacity: CapacityLimits,
     ) -> Backend | None:
-        """Give the best of some servers, None if none has a place."""
+        """Return the best of some servers, None if none has a slot."""
         now_ms = self._clock.now()
         speed = self._backends.pool_speed(job.pool)
         best: Score | None = None
         found = None
-        for backend in known:
+        for backend in candidates:
             if backend.server.id in avoid or not capacity.accepts(
                 backend, now_ms
             ):
@@ -284,122 +291,123 @@
                 best, found = score, backend
         return found
 
-    def _draw(self, pool: str) -> list[Backend]:
-        """Give the servers of a pool to look at, some of them if many.
+    def _draw_candidates(self, pool: str) -> list[Backend]:
+        """Return the candidates of a pool, a random sample if it is large.
 
         Explanation
         -----------
-        One that has said that it leaves is a last resort, for a part of the
-        time to drain, and for what should end in that time: where all servers
-        of a pool said so at one moment and others came 3 s later, 0.85 of the
-        requests of 7 s were answered, 0.69 if they got nothing at once.
-
-        A look at all of 372 servers took 58 ms for each request, at 48 of them
-        12 ms, both under the profiler (`bin/profile`).
+        Servers that have announced that they drain are a last resort while
+        they still serve.  Where all servers of a pool drain at once, requests
+        need not wait for their replacements.
         """
-        known = self._backends.in_pool(pool)
-        if len(known) > _LOOKED_AT:
-            known = self._rng.sample(known, _LOOKED_AT)
-        if not any(backend.takes_work for backend in known):
-            return known
-        return [backend for backend in known if not backend.signals.is_draining]
+        candidates = self._backends.in_pool(pool)
+        if len(candidates) > _MAX_CANDIDATES:
+            candidates = self._rng.sample(candidates, _MAX_CANDIDATES)
+        if not any(backend.takes_work for backend in candidates):
+            return candidates
+        return [
+            backend for backend in candidates if not backend.signals.is_draining
+        ]
 
-    def _list_open(self, pool: str) -> list[Backend]:
-        """Give the servers that have a place for some request.
+    def _list_open_backends(self, pool: str) -> list[Backend]:
+        """Return the servers that have a slot for some request.
 
         Explanation
         -----------
-        With many that wait and no place free, each of them would look at each
-        server anew at every end of a request.
+        Saves each waiter a search of all servers where no slot is free.
         """
         now_ms = self._clock.now()
-        capacity = self._measure_capacity(pool, 0)
+        capacity = self._capacity_limits(pool, 0)
         return [
             backend
-            for backend in self._draw(pool)
+            for backend in self._draw_candidates(pool)
             if capacity.accepts(backend, now_ms)
             and self.availability.is_available(backend, for_retry=True)
         ]
 
-    def _free_part(self, job: Job) -> float:
+    def _reserved_fraction(self, job: Job) -> float:
         return self._queues[job.pool].headroom.reserved_fraction(job)
 
-    def _measure_capacity(
+    def _capacity_limits(
         self, pool: str, reserved_fraction: float
     ) -> CapacityLimits:
         now_ms = self._clock.now()
-        known = self._backends.in_pool(pool)
-        known = [one for one in known if one.may_send_without_permit(now_ms)]
+        candidates = self._backends.in_pool(pool)
+        candidates = [
+            backend
+            for backend in candidates
+            if backend.may_send_without_permit(now_ms)
+        ]
         gateways = max(1, self._count_gateways())
-        places = sum(backend.server.slots for backend in known)
-        own = sum(backend.in_flight for backend in known)
-        # Whether we have less than an equal part of the pool's places.
-        extra = _EXTRA_PLACES if own < places // gateways else 0
+        slots = sum(backend.server.slots for backend in candidates)
+        own = sum(backend.in_flight for backend in candidates)
+        # Only for a gateway below its equal share of the slots.
+        extra_slots = _EXTRA_SLOTS if own < slots // gateways else 0
         return CapacityLimits(
             gateways,
             self._backends.connection_limit(pool),
             reserved_fraction,
-            extra,
+            extra_slots,
         )
 
-    def _shed_last(self, queue: Queue) -> None:
-        if len(queue.waiters) > _QUEUE_MAX:
+    def _shed_overflow(self, queue: Queue) -> None:
+        if len(queue.waiters) > _MAX_QUEUE_LENGTH:
             last = queue.waiters[-1]
-            self._shed(queue, lambda known: known is last)
+            self._shed(queue, lambda waiter: waiter is last)
 
     def _shed(self, queue: Queue, is_shed: Callable[[Waiter], bool]) -> None:
-        """Turn away all waiters that `is_shed` names."""
-        victims = [known for known in queue.waiters if is_shed(known)]
+        """Refuse all waiters that `is_shed` selects."""
+        victims = [waiter for waiter in queue.waiters if is_shed(waiter)]
         for victim in victims:
             queue.waiters.remove(victim)
             if not victim.slot.done():
                 refusal = Refusal(Cause.overload, step=_STEP)
                 victim.slot.set_exception(refusal)
 
-    def _give_patience(self, job: Job) -> int:
-        """Give until when a request waits for a place."""
-        max_wait_ms = _PATIENCE * job.route.target_ms
+    def _wait_until_ms(self, job: Job) -> int:
+        """Return until when a request may wait for a slot."""
+        max_wait_ms = _MAX_WAIT_FRACTION * job.route.target_ms
         if job.has_streamed:
-            max_wait_ms = _RESUME_PATIENCE_MS
+            max_wait_ms = _RESUME_MAX_WAIT_MS
         return min(job.deadline_ms, self._clock.now() + round(max_wait_ms))
 
     async def _wait(self, waiter: Waiter) -> Backend:
         pool = waiter.job.pool
         while True:
-            # A pause of a server may have ended, or a report grown old.
+            # A pause may have ended, or a load report expired.
             self.process_queue(pool)
             left_ms = waiter.expires_ms - self._clock.now()
             if left_ms <= 0 and not waiter.slot.done():
-                raise self._give_up(waiter.job)
-            step_ms = max(1, min(left_ms, self._next_look_ms(pool)))
+                raise self._time_out(waiter.job)
+            step_ms = max(1, min(left_ms, self._next_check_delay_ms(pool)))
             await asyncio.wait((waiter.slot,), timeout=step_ms / MS_PER_SECOND)
             if waiter.slot.done():
                 return waiter.slot.result()
 
-    def _next_look_ms(self, pool: str) -> int:
-        """Give after how long a place may be free that nobody tells of."""
+    def _next_check_delay_ms(self, pool: str) -> int:
+        """Return after how long to look for free slots without an event."""
         next_ms = self._queues[pool].next_check_ms
         if next_ms is None:
-            return _LOOK_AGAIN_MS
-        return min(_LOOK_AGAIN_MS, next_ms - self._clock.now())
+            return _CHECK_INTERVAL_MS
+        return min(_CHECK_INTERVAL_MS, next_ms - self._clock.now())
 
-    def _end_wait(self, queue: Queue, waiter: Waiter) -> None:
-        """Turn away at once who waits in vain, and who ranks below it."""
+    def _refuse_hopeless(self, queue: Queue, waiter: Waiter) -> None:
+        """Refuse a hopeless waiter and all of lower tiers."""
         if waiter.slot.done():
             return
         job = waiter.job
-        self._shed(queue, lambda known: known.job.priority > job.priority)
-        known = self._backends.in_pool(job.pool)
-        is_limited = any(one.signals.limit.is_set for one in known)
+        self._shed(queue, lambda other: other.job.priority > job.priority)
+        candidates = self._backends.in_pool(job.pool)
+        is_limited = any(backend.signals.limit.is_set for backend in candidates)
         cause = (
             Cause.servers_limited if is_limited else Cause.servers_backing_off
         )
         waiter.slot.set_exception(Refusal(cause, step=_STEP))
 
-    def _give_up(self, job: Job) -> Refusal:
-        """End the wait of a request; who ranks below it waits no longer."""
+    def _time_out(self, job: Job) -> Refusal:
+        """Return the refusal of a timed-out request; shed lower tiers."""
         queue = self._queues[job.pool]
-        self._shed(queue, lambda known: known.job.priority > job.priority)
+        self._shed(queue, lambda other: other.job.priority > job.priority)
         is_in_order = queue.lowest_tier <= job.priority
         self._promises.check(Rule.shed_order, is_in_order, step=_STEP)
         has_server = any(
--- a/seampond/forwarding/scoring.py
+++ b/seampond/forwarding/scoring.py
@@ -1,4 +1,4 @@
-"""Which of the servers that have a place is best for a request."""
+"""Scores by which the best server for a request is chosen."""
 
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.cost_model import (
@@ -10,22 +10,22 @@
 from seampond.forwarding.job import Job
 from seampond.forwarding.speeds import PoolSpeed
 
-# Whether it is a fallback, whether it is to be tried out, what is at risk
-# there, what it costs; the least is best.
+# Whether the server is only a fallback, its rank for probing, the crash risk
+# and the cost; the least is best.
 Score = tuple[bool, int, int, float]
 
 
 def score_backend(
     backend: Backend, job: Job, pool: PoolSpeed, zone: str, now_ms: int
 ) -> Score | None:
-    """Rate a server, the least is best; None for too late an answer.
+    """Return the score of a server, None if its response would be late.
 
     Explanation
     -----------
-    A server that holds nothing is always tried: what is believed of its
-    speed may be wrong, and only an answer tells.  A stream that was
-    broken off is lost if it is not taken up.  A server whose row has gone
-    comes after all others.
+    An idle server is never ruled out as too slow: its estimated speed may be
+    wrong, and only a response corrects it.  Nor is any server for a stream
+    that was interrupted, which would be lost.  A server whose row has gone
+    ranks after all others.
     """
     load = backend.load(now_ms)
     first_ms = estimate_first_byte_ms(backend, job, pool, now_ms, load)
@@ -48,16 +48,15 @@
 
 
 def _crash_risk(backend: Backend, job: Job, load: int) -> int:
-    """Rate what a request that may end its server puts at risk; 0 is least.
+    """Return what a request that may crash its server puts at risk.
 
     Explanation
     -----------
-    As few others as may be should run beside it, and none of those that the
-    same end has cut: the next one would speak against both.  The server that
-    it has just ended holds none, but answers nobody yet.  Copies that come
-    together go to one server until the first is answered: ten callers that
-    bring a request which ends its server, to two gateways at one moment, ended
-    six servers of six within 10 ms, now three (test_crashing).
+    A suspect should run beside as few requests as possible, and beside no
+    other suspect, so that a crash implicates only one of them.  A server that
+    has just failed has no load but may be down.  Concurrent duplicates go to
+    one server until the first is answered, so that a crashing request
+    crashes fewer servers.
     """
     if job.crash_count:
         shared = backend.suspect_count + (backend.consecutive_failures > 0)
@@ -71,16 +70,16 @@
 
 
 def _probe_rank(backend: Backend, job: Job, now_ms: int) -> int:
-    """Rate a server that has not answered since it wanted rest; 0 is least.
+    """Return the rank of a server that has not answered since its back-off.
 
     Explanation
     -----------
-    One request at a time finds out whether it is well: of the places that it
-    has, all would be tried at the end of its rest.  What it turns away goes to
-    another server, so it is done by who may still be sent there.
+    A single request probes whether the server has recovered.  If the server
+    refuses it, it goes to another one, so only a request that may be sent
+    again is used; it prefers the server to be probed.
 
-    Whether a limit holds on is told by answers alone, also where other servers
-    are faster.
+    A limit whose report is stale is probed in the same way, even where other
+    servers are faster, since only responses report limits.
     """
     if not backend.signals.needs_probe:
         limit = backend.signals.limit
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -250,12 +250,12 @@
             self.on_reply()
 
     def record_report(
-        self, key: int, limit: ServerLimit, *, is_other: bool
+        self, key: int, limit: ServerLimit, *, has_changed: bool
     ) -> None:
         """Note that an answer to us has spoken of a limit."""
-        self._recent.note(key, limit, is_other=is_other)
+        self._recent.note(key, limit, has_changed=has_changed)
         self._open_bucket(key, limit)
-        if is_other:
+        if has_changed:
             self._request_heartbeat()
 
     def collect_reports(self) -> Mapping[int, LimitReport]:
--- a/seampond/permits/recent_reports.py
+++ b/seampond/permits/recent_reports.py
@@ -30,10 +30,12 @@
         # By key of the life: the limit, and since when it is what it is.
         self._limits: dict[int, tuple[ServerLimit, int]] = {}
 
-    def note(self, key: int, limit: ServerLimit, *, is_other: bool) -> None:
+    def note(self, key: int, limit: ServerLimit, *, has_changed: bool) -> None:
         """Note an answer that speaks of a limit, maybe of another one."""
         now_ms = self._clock.now()
-        since_ms = now_ms if is_other else self._limits.get(key, (limit, 0))[1]
+        since_ms = (
+            now_ms if has_changed else self._limits.get(key, (limit, 0))[1]
+        )
         self._limits[key] = (limit, since_ms)
 
     def collect_reports(self) -> Mapping[int, LimitReport]:
