--- a/seampond/sharing/bucket.py
+++ b/seampond/sharing/bucket.py
@@ -1,4 +1,4 @@
-"""One tenant's bucket, and what may be given beyond its quota."""
+"""Token bucket of one tenant and the margin allowed beyond its quota."""
 
 from dataclasses import dataclass
 
@@ -7,29 +7,30 @@
 from seampond.sharing.fairness import Fairness
 from seampond.sharing.grant_window import GrantWindow
 
-# Of the share and of the units that may be given beyond a quota, what is given;
-# the rest is left for what gateways have not told each other yet.
+# Fractions of the margin that are granted; the rest covers grants that gateways
+# have not reported to each other yet.
 _GRANTED_SHARE_FRACTION = 0.6
 _GRANTED_UNITS_FRACTION = 0.55
-# Of that, what flows in all the time; windows that are never quite full bear
-# that a gateway which has just started, or was cut off, knows less.
+# Fraction of the maximum grant that is refilled continuously; the rest covers
+# gateways that have just started or were disconnected.
 _FLOW_FRACTION = 0.9
-# A bucket above this part of its burst is in no hurry to be told of.
+# Grants from a bucket above this fraction of its burst can be reported with
+# the next regular heartbeat.
 _AMPLE_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaMargin:
-    """What may be given beyond a quota, in any window of some seconds.
+    """What may be granted beyond a quota in any sliding window.
 
     Parameters
     ----------
     share : float
-        A part of the quota.
+        Fraction of the quota.
     units : float
-        Some units beside it.
+        Fixed number of units in addition.
     window_ms : int
-        The length of the window.
+        Length of the window.
 
     """
 
@@ -38,7 +39,7 @@
     window_ms: int = 8000
 
     def max_grant(self, tenant: Tenant) -> float:
-        """Give what all gateways together give in any window.
+        """Return the units that all gateways together may grant in a window.
 
         Examples
         --------
@@ -53,21 +54,18 @@
         )
 
     def max_rate(self, tenant: Tenant) -> float:
-        """Give the units a second that may be given for ever.
+        """Return the sustained refill rate in units per second.
 
         Explanation
         -----------
-        The quota's bound is one on windows, so what it allows beyond the rate
-        is allowed in each of them.  A bucket that flows at the rate gives it
-        once, and then owes it: a tenant that asked for 57,000 units a second
-        was given 33,000 of the 62,000 that the bound allowed, on a fleet of
-        18 gateways.
+        The bound applies to each window, so the margin is available in each of
+        them.  A bucket refilled at the plain rate would grant it only once.
         """
         most = self.max_grant(tenant) * _FLOW_FRACTION
         return max(tenant.rate, most * MS_PER_SECOND / self.window_ms)
 
     def reserve(self, tenant: Tenant) -> float:
-        """Give what is left for what gateways have not told yet."""
+        """Return the units that cover grants not reported yet."""
         quota = tenant.rate * self.window_ms / MS_PER_SECOND + tenant.burst
         left = quota * self.share * (1 - _GRANTED_SHARE_FRACTION)
         return left + self.units * (1 - _GRANTED_UNITS_FRACTION)
@@ -75,28 +73,28 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """One tenant's bucket as this gateway sees it; below zero is a debt.
+    """Token bucket of one tenant as known here; a negative level is a debt.
 
     Parameters
     ----------
+    fairness : Fairness
+        Recent demand of each rank at this gateway.
+    window : GrantWindow
+        Known grants of all gateways in the last window.
     level : float
-        What all gateways together may still give.
+        Units that all gateways together may still grant.
     base_level : float
-        The level, had nothing flowed in beyond the rate.
+        The level without any refill beyond the tenant's rate.
     partial_level : float
-        What those that are heard may give while some gateway is silent.
+        Units that the reachable gateways may grant while another is silent.
     reachable_fraction : float
-        The part of all gateways that was heard last.
+        Fraction of all gateways that is reachable, as of the last refill.
     spent : float
-        What we have given in this life of the process.
+        Units granted by this process since it started.
     reported : float
-        How much of it the others have been told.
-    fairness : Fairness
-        What the ranks of work have asked here.
-    window : GrantWindow
-        What all gateways have given in the last window, as far as we know.
+        How many of them have been sent to the other gateways.
     partition_start_ms : int
-        Since when some gateway is silent.
+        Time since which some gateway is silent.
 
     """
 
@@ -113,31 +111,31 @@
     partition_start_ms: int = 0
 
     def spend(self, now_ms: int, units: float) -> None:
-        """Take units that we give; fewer than none for a refund."""
+        """Deduct units granted here; a negative number is a refund."""
         self.deduct(now_ms, units)
         self.spent += units
 
     def deduct(self, now_ms: int, units: float) -> None:
-        """Take units that another gateway says it has given."""
+        """Deduct units granted by any gateway."""
         self.level -= units
         self.base_level -= units
         self.partial_level -= units
         self.window.add(now_ms, units)
 
     def update_limits(self, tenant: Tenant) -> None:
-        """Take the limits of a newer configuration.
+        """Apply the limits of a newer configuration.
 
         Explanation
         -----------
-        Another rate counts in windows that begin with it, so what was given
-        by the one before is not held against it.
+        Changed limits start a new window, since earlier grants were made under
+        the previous ones.
         """
         if (tenant.rate, tenant.burst) != (self.tenant.rate, self.tenant.burst):
             self.window.clear()
         self.tenant = tenant
 
     def has_ample_level(self, now_ms: int, margin: QuotaMargin) -> bool:
-        """Whether what one gateway gives is in no hurry to be told."""
+        """Return True if grants need no immediate report to the others."""
         most = margin.max_grant(self.tenant) * self.reachable_fraction
         if self.remaining(now_ms, margin) < most * _AMPLE_FRACTION:
             return False
@@ -145,12 +143,12 @@
         return min(self.level, self.partial_level) > ample
 
     def remaining(self, now_ms: int, margin: QuotaMargin) -> float:
-        """Give what the window still has room for.
+        """Return the units that may still be granted in the current window.
 
         Explanation
         -----------
-        What the silent may be giving grows from nothing to their part of a
-        whole window.
+        The amount that silent gateways may have granted grows linearly to their
+        fraction of a full window.
         """
         most = margin.max_grant(self.tenant)
         silent_fraction = min(
@@ -162,19 +160,18 @@
     def refill(
         self, now_ms: int, margin: QuotaMargin, reachable_fraction: float
     ) -> None:
-        """Let flow in what has come since the last time.
+        """Add the units accrued since the last refill.
 
         Explanation
         -----------
-        Who is silent may still be giving its equal part, and gives no more
-        if it hears nobody; the rest is for those that hear each other.  An
-        equal part for each of them alone would refuse what is owed where the
-        callers of a tenant are uneven over the gateways.
+        A silent gateway may still grant its equal fraction.  The reachable
+        gateways share the rest as one pool, so that a tenant whose requests
+        are spread unevenly over them still gets its quota.
 
         Parameters
         ----------
         reachable_fraction : float
-            The part of all gateways that is heard, this one among them.
+            Fraction of all gateways that is reachable, this one included.
 
         """
         factor = 1 + margin.share * _GRANTED_SHARE_FRACTION
--- a/seampond/sharing/fairness.py
+++ b/seampond/sharing/fairness.py
@@ -1,4 +1,4 @@
-"""Fair parts of one quota for more and less urgent work."""
+"""Fair sharing of one quota between more and less urgent requests."""
 
 import math
 from dataclasses import dataclass
@@ -11,16 +11,18 @@
 
 @dataclass(slots=True)
 class Demand:
-    """What one rank of work has asked of late, and what it was given.
+    """Recent requests of one rank, and how many of them were granted.
 
     Parameters
     ----------
     requested, granted : float
-        Requests, decaying with time.
+        Exponentially decaying numbers of requests.
+    updated_ms : int
+        Time of the last decay.
     refused_units : float
-        What the last refused request wanted.
+        Units of the last refused request.
     refused_ms : int or None
-        When that was, None for never.
+        Time of that refusal, None if there was none.
 
     """
 
@@ -32,11 +34,11 @@
 
     @property
     def granted_fraction(self) -> float:
-        """The part of its requests that was given; 1 if it asked nothing."""
+        """Fraction of requests that was granted; 1 if there were none."""
         return self.granted / self.requested if self.requested else 1.0
 
     def decay(self, now_ms: int) -> None:
-        """Let what is past count for less."""
+        """Decay the numbers up to `now_ms`."""
         factor = math.exp((self.updated_ms - now_ms) / _DECAY_TIME_MS)
         self.requested *= factor
         self.granted *= factor
@@ -44,15 +46,14 @@
 
 
 class Fairness:
-    """Keeps units of a scarce quota for the most urgent work.
+    """Reserves units of an exhausted quota for the most urgent requests.
 
     Explanation
     -----------
-    Beyond a quota, small requests take whatever flows in before it is enough
-    for a large one.  So once urgent work was refused, less urgent work
-    has to leave enough for it, until the urgent has been given as large a
-    part of what it asks.  Urgent work that asks no more holds nobody up for
-    long.
+    Small requests would otherwise use up each refill before it suffices for a
+    large one.  After an urgent request was refused, less urgent ones must
+    leave enough units for it until the urgent rank has had an equal fraction
+    of its requests granted.  A reservation expires after a short time.
 
     Examples
     --------
@@ -64,12 +65,12 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with nothing asked."""
+        """Start without any demand."""
         self._clock = clock
         self._by_rank: dict[int, Demand] = {}
 
     def record(self, rank: int, units: float, *, is_granted: bool) -> None:
-        """Note a request of `rank`, and whether it was given."""
+        """Record a request of `rank` and whether it was granted."""
         now_ms = self._clock.now()
         demand = self._by_rank.setdefault(rank, Demand())
         demand.decay(now_ms)
@@ -81,7 +82,7 @@
             demand.refused_ms = now_ms
 
     def reserved_above(self, rank: int) -> float:
-        """Give the units that a request of `rank` has to leave for others."""
+        """Return the units reserved for ranks more urgent than `rank`."""
         own = self._by_rank.get(rank, Demand(requested=1))
         since_ms = self._clock.now() - _REFUSAL_MEMORY_MS
         reserved = [
--- a/seampond/sharing/grant_window.py
+++ b/seampond/sharing/grant_window.py
@@ -1,4 +1,4 @@
-"""What was given in the last seconds."""
+"""Sum of the units granted in a sliding window."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True)
 class GrantWindow:
-    """A sum over a window that slides, in slots of a quarter of a second.
+    """Sum over a sliding window, kept in slots of fixed length.
 
     Parameters
     ----------
     length_ms : int
-        The length of the window; a slot counts until all of it is older.
+        Length of the window; a slot counts until all of it has left.
 
     Examples
     --------
@@ -30,7 +30,7 @@
     _sum: float = 0
 
     def add(self, now_ms: int, units: float) -> None:
-        """Count units as given now; fewer than none for a refund."""
+        """Add units granted now; a negative number is a refund."""
         self._sum += units
         slot_ms = now_ms - now_ms % _SLOT_MS
         if self._slots and self._slots[-1][0] == slot_ms:
@@ -38,7 +38,7 @@
         self._slots.append((slot_ms, units))
 
     def total(self, now_ms: int) -> float:
-        """Give what was given in the window that ends now."""
+        """Return the units granted in the window that ends now."""
         oldest_ms = now_ms - self.length_ms - _SLOT_MS
         while self._slots and self._slots[0][0] < oldest_ms:
             self._sum -= self._slots.popleft()[1]
@@ -47,6 +47,6 @@
         return self._sum
 
     def clear(self) -> None:
-        """Forget what was given."""
+        """Remove all grants."""
         self._slots.clear()
         self._sum = 0
--- a/seampond/sharing/hashing.py
+++ b/seampond/sharing/hashing.py
@@ -1,20 +1,20 @@
-"""Short keys for names, for messages that are sent often."""
+"""Short hashes that stand for names in heartbeats."""
 
 import functools
 import hashlib
 
-_KEY_BYTES = 5
-_KNOWN_MAX = 65_536
+_HASH_BYTES = 5
+_CACHE_SIZE = 65_536
 
 
-@functools.lru_cache(maxsize=_KNOWN_MAX)
+@functools.lru_cache(maxsize=_CACHE_SIZE)
 def hash_name(name: str) -> int:
-    """Give the same key of 40 bits for a name in every process.
+    """Return a 40-bit hash of a name, equal in every process.
 
     Explanation
     -----------
-    Of 3,900 names two have the same key once in 140,000 fleets; their loads
-    or quotas would then be counted together.
+    Loads or quotas of two names with the same hash would be added up; the hash
+    is long enough to make this unlikely.
 
     Examples
     --------
@@ -24,5 +24,5 @@
     False
 
     """
-    digest = hashlib.blake2b(name.encode(), digest_size=_KEY_BYTES).digest()
+    digest = hashlib.blake2b(name.encode(), digest_size=_HASH_BYTES).digest()
     return int.from_bytes(digest)
--- a/seampond/sharing/loads.py
+++ b/seampond/sharing/loads.py
@@ -1,4 +1,4 @@
-"""What the other gateways together have on each server."""
+"""Total load of the other gateways on each server."""
 
 from collections.abc import Mapping
 
@@ -8,34 +8,34 @@
 
 
 class LoadTotals:
-    """Sums over gateways, kept by what each changes.
+    """Load per server summed over gateways, updated incrementally.
 
     Explanation
     -----------
-    Summed anew for each heartbeat, among 68 gateways and 84 servers, the loads
-    took 4.2 ms; their differences take 0.015 ms (best of five).
+    Adding up the loads of all gateways at each heartbeat would be too slow in
+    a large fleet.
 
     Examples
     --------
-    >>> sums = LoadTotals()
-    >>> sums.replace({}, {7: Load(2, 500)})
-    >>> sums.replace({7: Load(2, 500)}, {7: Load(1, 0), 8: Load(1, 90)})
-    >>> sorted(sums.pop_changed().items())
+    >>> totals = LoadTotals()
+    >>> totals.replace({}, {7: Load(2, 500)})
+    >>> totals.replace({7: Load(2, 500)}, {7: Load(1, 0), 8: Load(1, 90)})
+    >>> sorted(totals.pop_changed().items())
     [(7, Load(running=1, pending_tokens=0)), (8, Load(running=1, pending_tokens=90))]
-    >>> sums.pop_changed()
+    >>> totals.pop_changed()
     {}
 
     """
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start without any load."""
         self._by_server: dict[int, Load] = {}
         self._changed: set[int] = set()
 
     def replace(
         self, before: Mapping[int, Load], after: Mapping[int, Load]
     ) -> None:
-        """Put what one gateway tells now in the place of its last word."""
+        """Replace the previous loads of one gateway by its current ones."""
         for server, load in before.items():
             self._add(server, -load.running, -load.pending_tokens)
         for server, load in after.items():
@@ -43,7 +43,7 @@
         self._changed.update(before, after)
 
     def pop_changed(self) -> dict[int, Load]:
-        """Give the sums that somebody has told anew since the last call."""
+        """Return the totals of servers reported since the last call."""
         changed = {
             server: self._by_server.get(server, _NOTHING)
             for server in self._changed
@@ -52,9 +52,9 @@
         return changed
 
     def _add(self, server: int, running: int, pending_tokens: int) -> None:
-        known = self._by_server.get(server, _NOTHING)
+        total = self._by_server.get(server, _NOTHING)
         load = Load(
-            known.running + running, known.pending_tokens + pending_tokens
+            total.running + running, total.pending_tokens + pending_tokens
         )
         if load == _NOTHING:
             self._by_server.pop(server, None)
--- a/seampond/sharing/peers.py
+++ b/seampond/sharing/peers.py
@@ -65,10 +65,10 @@
         return self.heartbeat is not None and self.heartbeat.has_stopped
 
     def update_load_totals(
-        self, sums: LoadTotals, loads: Mapping[int, Load]
+        self, totals: LoadTotals, loads: Mapping[int, Load]
     ) -> None:
         """Put its loads into sums in the place of those before."""
-        sums.replace(self.counted_loads, loads)
+        totals.replace(self.counted_loads, loads)
         self.counted_loads = loads
 
 
--- a/seampond/sharing/quotas.py
+++ b/seampond/sharing/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over all gateways: one bucket for all, kept by what each spends."""
+"""Fleet-wide quotas: each gateway keeps a copy of every tenant's bucket."""
 
 import math
 import random
@@ -13,46 +13,44 @@
 from seampond.sharing.heartbeats import Heartbeat
 from seampond.sharing.peers import Peers
 
-# How far below zero the level may be for a request to be let in, and after.
+# Fractions of the margin's units: how far below zero the level may be before a
+# request is granted, and after.
 _MIN_LEVEL_FRACTION = 0.1
 _DEBT_FRACTION = 0.55
 _LOW_LEVEL_FRACTION = 0.25
-# Where all start at once nobody knows the levels, and an earlier life may have
-# left a whole debt.  What a start gives beyond the flow, from zero down to a
-# smaller debt, is less than what is left of the margin then; the whole debt
-# is allowed once a window has passed, or once the levels were told.
+# Smaller debt allowed after a start without known levels, since the previous
+# incarnation may have left a full one.
 _STARTUP_DEBT_FRACTION = 0.3
+# Fraction of the margin's units that may stay unreported.
 _URGENT_FRACTION = 0.04
+# Fraction of the reserve that all gateways may grant between two heartbeats.
 _INTERVAL_FRACTION = 0.25
 _MAX_WAIT_MS = 10_000
 
 
 class Quotas:
-    """The buckets of one gateway.
+    """Quota buckets of all tenants, as known to this gateway.
 
     Explanation
     -----------
-    Every gateway keeps the one bucket of a tenant: it flows in at the
-    tenant's rate, and out by what this gateway gives and what the others
-    say they have given.  What they have not said yet is the error; it is
-    paid back as soon as it is told, so it does not add up, and it is told
-    at once where it grows.  While somebody is silent, those that hear each
-    other give their equal parts together at the most, since the silent one may
-    still be giving its own.
-    Of the margin, a part flows in with the rate and may be a debt for a
-    while, and the rest is left for what is not told in time; what was given
-    in the last window is counted too, and bounds both.
-
-    A gateway that starts takes the levels of one that has run for a window;
-    where there is none, its buckets start empty and with a smaller debt, so
-    that little is given twice.
+    Each gateway keeps its own copy of a tenant's bucket.  It is refilled at the
+    tenant's rate and drained by local grants and by those that the other
+    gateways report in heartbeats.  Unreported grants are the error; they are
+    deducted once reported, and large ones are reported at once.  While a
+    gateway is silent, the others together grant no more than their fraction.
+
+    Part of the margin is added to the rate and may be used as debt; the rest
+    covers late reports.  The grants of the last window bound both.
+
+    A new gateway adopts the levels of one that has run for a full window.
+    Without one, its buckets start empty and with a smaller debt.
 
     Parameters
     ----------
     margin : QuotaMargin
-        What all gateways together may give beyond a tenant's quota.
+        What all gateways together may grant beyond a tenant's quota.
     request_heartbeat : Callable[[], None]
-        Called where the others should hear of us at once.
+        Called to send a heartbeat at once.
 
     """
 
@@ -64,26 +62,26 @@
         request_heartbeat: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        """Start with no buckets."""
+        """Start without any buckets."""
         self._peers = peers
         self.margin = margin
         self._clock = clock
         self._request_heartbeat = request_heartbeat
         self._rng = rng
         self._started_ms = clock.now()
-        # By key of the tenant, as in the heartbeats.
+        # By hash of the tenant's name.
         self._buckets: dict[int, Bucket] = {}
-        # What others gave before we had a bucket for it.
+        # Grants of other gateways to tenants without a bucket here.
         self._early_grants: dict[int, float] = {}
-        # The levels that an older gateway told us, and when.
+        # Levels adopted from an older gateway, and when.
         self._received_levels: dict[int, int] = {}
         self._levels_received_ms: int | None = None
-        # By gateway and tenant: its incarnation and what it has given.
+        # By gateway and tenant: incarnation and units granted.
         self._last_reports: dict[tuple[str, int], tuple[int, float]] = {}
 
     @property
     def uptime_ms(self) -> int:
-        """How long these buckets have been kept."""
+        """How long this process has kept its buckets."""
         return self._clock.now() - self._started_ms
 
     def charge(
@@ -94,29 +92,28 @@
         *,
         has_idle_slots: bool = True,
     ) -> int:
-        """Take units from a tenant's bucket.
+        """Charge units to a tenant's bucket.
 
         Explanation
         -----------
-        Where a tenant asks for more than its quota, small requests would
-        empty the bucket before it holds enough for a large one.  So a
-        request is let in by the level before it, whatever its size, and may
-        leave a debt; of less urgent work only a part is let in while the
-        bucket is low, and it leaves what urgent work has just lacked.
+        A request is admitted by the level before it, whatever its size, and
+        may leave a debt; otherwise small requests would keep the bucket too
+        empty for large ones.  While the level is low, less urgent requests
+        are admitted at random and must leave the units reserved for urgent
+        ones.
 
         Parameters
         ----------
         rank : int
-            The urgency of the kind of work, 0 the highest.
+            Urgency of the request, 0 is the highest.
         has_idle_slots : bool
-            Whether servers have places that nobody else waits for; what flows
-            in beyond the rate is given only then, or one tenant's excess
-            would take the places of others.
+            Whether servers have slots that no other request waits for; only
+            then the refill beyond the tenant's rate may be used.
 
         Returns
         -------
         int
-            0, or the milliseconds until there may be enough.
+            0 if granted, else the milliseconds until units may suffice.
 
         """
         bucket = self._refilled_bucket(tenant)
@@ -133,32 +130,33 @@
         return 0
 
     def refund(self, tenant: Tenant, units: float) -> None:
-        """Give units back for a request that was not run."""
+        """Refund the units of a request that was not executed."""
         bucket = self._buckets.get(hash_name(tenant.name))
         if bucket is not None:
             bucket.spend(self._clock.now(), -units)
 
     def spent_by_tenant(self) -> Mapping[int, float]:
-        """Give what we have spent, by key of the tenant."""
-        return {key: known.spent for key, known in self._buckets.items()}
+        """Return the units granted here, by hash of the tenant's name."""
+        return {key: bucket.spent for key, bucket in self._buckets.items()}
 
     def record_sent(self) -> None:
-        """Note that all others were sent what we have spent."""
+        """Record that the units granted here were sent to all gateways."""
         for bucket in self._buckets.values():
             bucket.reported = bucket.spent
 
     def levels_for_newcomers(self) -> Mapping[int, int]:
-        """Give the level of each bucket, where a new gateway needs them."""
+        """Return the level of each bucket if another gateway needs them."""
         if not self._has_fleet_levels or not self._peers.has_newcomer:
             return {}
         for bucket in self._buckets.values():
             self._refill(bucket)
         return {
-            key: math.floor(known.level) for key, known in self._buckets.items()
+            key: math.floor(bucket.level)
+            for key, bucket in self._buckets.items()
         }
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take what another gateway says it has given, and its levels."""
+        """Apply the grants and levels that another gateway reports."""
         if heartbeat.levels and self.uptime_ms < self.margin.window_ms:
             self._apply_levels(heartbeat.levels)
         for tenant, units in heartbeat.spent.items():
@@ -176,19 +174,18 @@
 
     @property
     def _has_fleet_levels(self) -> bool:
-        """Whether our levels are those of all gateways."""
+        """Whether the local levels include the grants of all gateways."""
         is_old = self.uptime_ms >= self.margin.window_ms
         return is_old or self._levels_received_ms is not None
 
     def _is_urgent(self, bucket: Bucket) -> bool:
-        """Whether the others should hear at once of what we have given.
+        """Return True if local grants should be reported at once.
 
         Explanation
         -----------
-        Only where the bucket runs low; a full one bears what is told with
-        the next heartbeat.  Where the reserve does not bear what all gateways
-        give between two heartbeats, the less each may leave untold the more
-        there are, since all of them may do so at the same time.
+        Only a bucket that runs low needs it.  Where the reserve is small
+        against the grants between two heartbeats, each gateway may leave less
+        unreported the more gateways there are.
         """
         if bucket.has_ample_level(self._clock.now(), self.margin):
             return False
@@ -204,12 +201,12 @@
         return unreported > max_units
 
     def _apply_levels(self, levels: Mapping[int, int]) -> None:
-        """Go on from the levels of a gateway that knows them.
+        """Adopt the levels of a gateway that knows them.
 
         Explanation
         -----------
-        One that was frozen for a while has not heard what was given
-        meanwhile, so the lowest that is told of each bucket counts.
+        A gateway that was suspended has missed grants and reports levels that
+        are too high, so the lowest report of each bucket is used.
         """
         if self._levels_received_ms is not None:
             for key, level in levels.items():
@@ -220,11 +217,11 @@
         self._early_grants.clear()
         for key, bucket in self._buckets.items():
             self._refill(bucket)
-            # What we have given may be unknown there.
+            # The sender may not know the local grants.
             bucket.level = levels.get(key, bucket.level) - bucket.spent
 
     def _lower_level(self, key: int, level: int) -> None:
-        """Take another word on one level, if it is a lower one."""
+        """Lower one level if the reported one is lower."""
         bucket = self._buckets.get(key)
         if bucket is None:
             self._received_levels[key] = min(
@@ -237,20 +234,20 @@
     def _record_report(
         self, heartbeat: Heartbeat, tenant: int, units: float
     ) -> float:
-        """Give what the other has given since we heard it last."""
+        """Return the units granted since the last heartbeat of the sender."""
         key = (heartbeat.name, tenant)
-        known = self._last_reports.get(key)
+        previous = self._last_reports.get(key)
         self._last_reports[key] = (heartbeat.incarnation, units)
-        if known is None:
-            # What it gave before we began counts for no bucket of ours.
+        if previous is None:
+            # Grants from before the local start are not charged here.
             return units if heartbeat.uptime_ms <= self.uptime_ms else 0
-        incarnation, before = known
+        incarnation, before = previous
         return units - before if incarnation == heartbeat.incarnation else units
 
     def _wait_ms(
         self, bucket: Bucket, level: float, units: float, rank: int
     ) -> int:
-        """Give how long until there may be enough, 0 if there is now."""
+        """Return the time until units may suffice, 0 if they do now."""
         shortfall = self._shortfall(level, units, 1)
         reserved = bucket.fairness.reserved_above(rank)
         max_units = (
@@ -287,16 +284,16 @@
     def _shortfall(
         self, level: float, units: float, reachable_fraction: float
     ) -> float:
-        """Give what a level lacks for a request, 0 or less for nothing."""
+        """Return the units that a level lacks; at most 0 if it suffices."""
         margin = self.margin.units * reachable_fraction
         below = -margin * _MIN_LEVEL_FRACTION - level
-        # What the bucket never holds is let in by its debt alone.
+        # Bounds the debt that a request larger than the burst may leave.
         debt = units - level - margin * self._debt_fraction
         return max(below, debt)
 
     @property
     def _debt_fraction(self) -> float:
-        """The part of the margin's units that may be a debt just now."""
+        """Fraction of the margin's units that may be used as debt now."""
         return (
             _DEBT_FRACTION if self._has_fleet_levels else _STARTUP_DEBT_FRACTION
         )
@@ -335,5 +332,5 @@
             self._clock.now(), self.margin, self._peers.reachable_fraction
         )
         if self._peers.all_reachable:
-            # Should somebody fall silent, we go on from our part of this.
+            # Starting point for the time when a gateway falls silent.
             bucket.partial_level = bucket.level
