--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -78,7 +78,7 @@
             (
                 self.configuration_state.configuration is not None,
                 self.server_follower.is_loaded,
-                self.rollout_follower.rollouts.is_ready,
+                self.rollout_follower.manager.is_ready,
                 self.quarantine.trials.is_loaded,
             )
         )
@@ -103,14 +103,14 @@
         self.web.admission.max_proof_age_ms = bounds.proof_ms
         self.retry_budget.set_bounds(bounds.retry_ratio, bounds.retry_allowance)
         self.quotas.margin = make_quota_margin(bounds)
-        self.rollout_follower.rollouts.limits = make_exposure_limits(bounds)
+        self.rollout_follower.manager.limits = make_exposure_limits(bounds)
         self.backends.grace_ms = compute_grace_ms(bounds)
         return sorted(key for key in after if before.get(key) != after[key])
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take what another gateway has told."""
         self.quotas.apply_heartbeat(heartbeat)
-        self.rollout_follower.rollouts.apply_reports(
+        self.rollout_follower.manager.apply_reports(
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
         self.quarantine.apply_reports(heartbeat.crashes, heartbeat.successes)
@@ -156,7 +156,7 @@
             levels=self.quotas.levels_for_newcomers(),
             is_store_unreachable=self.is_store_unreachable,
             pages=tuple(self._pages),
-            rollouts=self.rollout_follower.rollouts.build_reports(),
+            rollouts=self.rollout_follower.manager.build_reports(),
             crashes=tuple(self.quarantine.suspects.list_crash_reports()),
             successes=self.quarantine.suspects.list_cleared(),
             limit_reports=self.permit_manager.collect_reports(),
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -52,7 +52,7 @@
 
     def __init__(self, rollouts: RolloutManager, clock: Clock) -> None:
         """Start with no order."""
-        self.rollouts = rollouts
+        self.manager = rollouts
         self.is_active = asyncio.Event()
         self._clock = clock
         self._is_start = True
@@ -65,8 +65,8 @@
         gone = [pool_name(row) for row in latest.values() if row.is_deleted]
         if page.is_snapshot:
             listed = set(map(pool_name, latest.values()))
-            gone.extend(set(self.rollouts.pools_with_order) - listed)
-        self.rollouts.apply_orders(
+            gone.extend(set(self.manager.pools_with_order) - listed)
+        self.manager.apply_orders(
             orders, gone, self._clock.now(), is_start=self._is_start
         )
         self._is_start = False
@@ -78,8 +78,8 @@
         statuses = [row for row in latest.values() if is_status_row(row)]
         steps = [row for row in latest.values() if is_step_row(row)]
         # A row that is not there any more is one that nothing rests on.
-        lacking = self.rollouts.pools_with_state if page.is_snapshot else ()
-        self.rollouts.apply_states(
+        lacking = self.manager.pools_with_state if page.is_snapshot else ()
+        self.manager.apply_states(
             dict.fromkeys(lacking)
             | {pool_name(row): None for row in statuses}
             | dict(_read_named(statuses, parse_status)),
@@ -91,7 +91,7 @@
         self._update_active()
 
     def _update_active(self) -> None:
-        if self.rollouts.has_running:
+        if self.manager.has_running:
             self.is_active.set()
         else:
             self.is_active.clear()
@@ -138,7 +138,7 @@
         Lets the others hear of us at once.
 
     """
-    rollouts = follower.rollouts
+    rollouts = follower.manager
     since_ms: dict[Change, int] = {}
     while True:
         await follower.is_active.wait()
--- a/seampond/gateway/status.py
+++ b/seampond/gateway/status.py
@@ -45,6 +45,6 @@
                 'answers': rollout.evidence.new_answers.answers,
                 'bad': rollout.evidence.new_answers.bad,
             }
-            for rollout in components.rollout_follower.rollouts.running
+            for rollout in components.rollout_follower.manager.running
         ],
     }
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -75,7 +75,7 @@
         return [
             one
             for gateway in self.gateways
-            for one in gateway.components.rollout_follower.rollouts.running
+            for one in gateway.components.rollout_follower.manager.running
         ]
 
     async def start_fleet(self) -> None:
--- a/seampond/gateway/tests/test_versions.py
+++ b/seampond/gateway/tests/test_version_policy.py
@@ -13,7 +13,7 @@
 from seampond.forwarding.backend import Backend
 from seampond.forwarding.models import RequestKind, Route
 from seampond.forwarding.progress import AttemptRecord, Outcome
-from seampond.gateway.versions import RolloutVersions
+from seampond.gateway.version_policy import RolloutVersionPolicy
 from seampond.rollouts import RolloutManager
 from seampond.rollouts.manager import ExposureLimits
 from seampond.rollouts.models import Tally
@@ -80,7 +80,7 @@
             list,
             hash_name,
         )
-        self.versions = RolloutVersions(rollouts, self.clock)
+        self.versions = RolloutVersionPolicy(rollouts, self.clock)
 
     def answer(self, route: Route, version: str, took_ms: int) -> None:
         """Note a whole answer that has just come."""
@@ -96,7 +96,7 @@
         """Give how many answers of the new version were taken for bad."""
         for _ in range(40):
             self.answer(route, OLD, _USUAL_MS)
-        rollouts = self.versions.rollouts
+        rollouts = self.versions.manager
         rollouts.apply_orders([build_order()], [], 1000, is_start=False)
         for took_ms in seen_ms:
             self.answer(route, NEW, took_ms)
--- a/seampond/gateway/versions.py
+++ b/seampond/gateway/version_policy.py
@@ -24,10 +24,10 @@
 
 
 @dataclass
-class RolloutVersions:
+class RolloutVersionPolicy:
     """Sends requests where the roll-outs want them."""
 
-    rollouts: RolloutManager
+    manager: RolloutManager
     clock: Clock
     stalls: EventLoopStalls = field(default_factory=EventLoopStalls)
     rng: random.Random = field(default_factory=random.Random)
@@ -38,13 +38,13 @@
         """Give the servers to look at, those that come first before others."""
         is_fresh = not (job.attempts or job.has_streamed or job.last_event)
         draw = self.rng.random() if is_fresh else None
-        return self.rollouts.group_backends(
+        return self.manager.group_backends(
             job.pool, backends, self.clock.now(), draw
         )
 
     def record_placement(self, backend: Backend) -> None:
         """Count a request against what may be exposed."""
-        self.rollouts.record_placement(
+        self.manager.record_placement(
             backend.server.pool, backend.server.version
         )
 
@@ -59,7 +59,7 @@
         is_bad = record.outcome in _BAD
         # A cold server has said that it would be slow.
         is_cold = now_ms < backend.cold_until_ms
-        self.rollouts.record_answer(
+        self.manager.record_answer(
             backend.server.pool,
             hash_name(job.route.name),
             backend.server.version,
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -23,7 +23,7 @@
 from seampond.gateway.followers import ConfigurationFollower, ServerFollower
 from seampond.gateway.rollouts import RolloutFollower
 from seampond.gateway.stalls import EventLoopStalls
-from seampond.gateway.versions import RolloutVersions
+from seampond.gateway.version_policy import RolloutVersionPolicy
 from seampond.metrics.gateway import GatewayMetrics
 from seampond.permits.manager import PermitManager
 from seampond.platform import HEADERS
@@ -149,7 +149,7 @@
         bounds, configuration_state, backends, peers, store_clock
     )
     stalls = EventLoopStalls()
-    versions = RolloutVersions(rollouts, clock, stalls)
+    versions = RolloutVersionPolicy(rollouts, clock, stalls)
     permit_manager = PermitManager(
         peers,
         clock,
--- a/seampond/platform/__init__.py
+++ b/seampond/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls, and no decisions."""
+"""The platform's names, row formats and store calls."""
 
 from seampond.platform.configuration import (
     parse_configuration as parse_configuration,
--- a/seampond/platform/configuration.py
+++ b/seampond/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration, read into the product's own."""
+"""Parsing of the platform's configuration row into the gateway's models."""
 
 from collections.abc import Iterator
 from types import MappingProxyType
@@ -17,15 +17,15 @@
         'streaming': models.RequestKind.stream,
     }
 )
-_TARGET_MS = 1000
-_TIMEOUT_MS = 60_000
-_LOWEST_PRIORITY = 9
+_DEFAULT_TARGET_MS = 1000
+_DEFAULT_TIMEOUT_MS = 60_000
+_DEFAULT_PRIORITY = 9
 
 
 class _ConfigurationPart(
     msgspec.Struct, frozen=True, kw_only=True, rename='kebab'
 ):
-    """A part of the configuration; unknown fields are passed over."""
+    """Base of the row's models; unknown fields are ignored."""
 
 
 class _TrafficSplit(_ConfigurationPart, frozen=True):
@@ -38,9 +38,9 @@
     host: str
     path_prefix: str
     kind: str
-    timeout_ms: int = _TIMEOUT_MS
-    target_latency_ms: int = _TARGET_MS
-    priority: int = _LOWEST_PRIORITY
+    timeout_ms: int = _DEFAULT_TIMEOUT_MS
+    target_latency_ms: int = _DEFAULT_TARGET_MS
+    priority: int = _DEFAULT_PRIORITY
     service: str = ''
     traffic_split: tuple[_TrafficSplit, ...] = ()
     max_attempts: int = 1
@@ -80,7 +80,7 @@
     tenants: tuple[_Tenant, ...] = ()
 
 
-def _read_route(route: _Route) -> models.Route:
+def _convert_route(route: _Route) -> models.Route:
     shares = tuple(
         models.PoolShare(split.service, split.weight)
         for split in route.traffic_split
@@ -103,7 +103,7 @@
     )
 
 
-def _read_tenant(tenant: _Tenant) -> models.Tenant:
+def _convert_tenant(tenant: _Tenant) -> models.Tenant:
     return models.Tenant(
         name=tenant.name,
         priority=tenant.priority,
@@ -114,49 +114,49 @@
     )
 
 
-def _read_keys(
+def _index_keys(
     tenants: tuple[_Tenant, ...],
 ) -> Iterator[tuple[bytes, models.Tenant]]:
     for tenant in tenants:
-        read = _read_tenant(tenant)
+        converted = _convert_tenant(tenant)
         for key in tenant.api_keys:
-            yield models.digest_key(key), read
+            yield models.digest_key(key), converted
 
 
 def parse_configuration(content: bytes) -> models.Configuration:
-    """Read the row that holds the configuration.
+    """Parse the row that holds the configuration.
 
     Parameters
     ----------
     content : bytes
-        The JSON text of the row.
+        JSON text of the row.
 
     Raises
     ------
     PlatformError
-        If it is none; names the first bad field.
+        If the text is not a configuration; names the first invalid field.
 
     """
-    whole = decode_row(
+    parsed = decode_row(
         content, _Configuration, step='configuration', is_strict=False
     )
-    routes = [_read_route(route) for route in whole.routes]
+    routes = [_convert_route(route) for route in parsed.routes]
     pools = [
         models.Pool(
             service.name, service.max_conns, is_engine=bool(service.engine)
         )
-        for service in whole.services
+        for service in parsed.services
     ]
     return models.Configuration(
-        version=whole.version,
+        version=parsed.version,
         routes={(route.host, route.prefix): route for route in routes},
         pools={pool.name: pool for pool in pools},
-        keys=dict(_read_keys(whole.tenants)),
-        has_tenants=bool(whole.tenants),
+        keys=dict(_index_keys(parsed.tenants)),
+        has_tenants=bool(parsed.tenants),
         limits=models.RequestLimits(
-            header_bytes=whole.limits.max_header_bytes,
-            body_bytes=whole.limits.max_body_bytes,
-            header_timeout_ms=whole.limits.header_timeout_ms,
-            idle_timeout_ms=whole.limits.idle_timeout_ms,
+            header_bytes=parsed.limits.max_header_bytes,
+            body_bytes=parsed.limits.max_body_bytes,
+            header_timeout_ms=parsed.limits.header_timeout_ms,
+            idle_timeout_ms=parsed.limits.idle_timeout_ms,
         ),
     )
--- a/seampond/platform/gateways.py
+++ b/seampond/platform/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways' own table: where each listens for heartbeats."""
+"""Rows of the gateways' table: where each listens for heartbeats."""
 
 import msgspec
 
@@ -9,17 +9,17 @@
     address: NonEmptyText
 
     def __post_init__(self) -> None:
-        """Check what a type cannot say."""
+        """Validate the address."""
         validate_address(self.address)
 
 
 def parse_gateway(name: str, content: bytes) -> str:
-    """Give the address in the row of a gateway.
+    """Return the address in the row of a gateway.
 
     Raises
     ------
     PlatformError
-        If it is none.
+        If the row is not valid.
 
     Examples
     --------
@@ -31,5 +31,5 @@
 
 
 def encode_gateway(address: str) -> bytes:
-    """Give the content of a gateway's row."""
+    """Return the content of a gateway's row."""
     return msgspec.json.encode(_Gateway(address))
--- a/seampond/platform/names.py
+++ b/seampond/platform/names.py
@@ -1,10 +1,10 @@
-"""How the users' platform spells headers, calls, tables and words."""
+"""Names of the platform's headers, paths, tables and row states."""
 
 from seampond.forwarding.models import HeaderNames
 
 _REQUEST_ID = b'x-seampond-request-id'
-_TOKENS = b'x-seampond-token-usage'
-_PROMPT = b'x-seampond-prompt-prefix'
+_TOKEN_USAGE = b'x-seampond-token-usage'
+_PROMPT_PREFIX = b'x-seampond-prompt-prefix'
 
 HEADERS = HeaderNames(
     request_id=_REQUEST_ID,
@@ -17,25 +17,24 @@
     not_run=b'x-seampond-not-executed',
     leaving=b'server-leaving',
     limit=b'server-limit',
-    tokens=_TOKENS,
-    prompt=_PROMPT,
+    tokens=_TOKEN_USAGE,
+    prompt=_PROMPT_PREFIX,
     last_event=b'last-event-id',
     scheme='token',
-    # Holds, pins, copies and moves of a server's memory, the server and the
-    # version that are expected, the workspace, the time left.
+    # Callers may not send headers with these prefixes, except those below.
     reserved=(b'x-seampond-', b'kv-'),
     caller_settable=frozenset(
         (
             _REQUEST_ID,
-            _TOKENS,
-            _PROMPT,
+            _TOKEN_USAGE,
+            _PROMPT_PREFIX,
             b'x-seampond-model',
             b'x-seampond-length-hint',
         )
     ),
 )
 
-# Rises each time the store is restored from an older copy of itself.
+# Incremented each time the store is restored from a backup.
 ERA_HEADER = b'store-era'
 
 READY_PATH = '/ready'
@@ -57,8 +56,8 @@
 GATEWAYS_TABLE = 'gateways'
 QUARANTINE_TABLE = 'quarantine'
 STATUS_TABLE = 'status'
-# Orders of roll-outs, in the operators' table, and their states; the steps
-# beside these are our own.
+# Rollout orders are in the configuration table, their states and steps in the
+# status table; only gateways read and write steps.
 ROLLOUT_PREFIX = 'rollout/'
 STEP_PREFIX = 'rollout-step/'
 
--- a/seampond/platform/quarantine.py
+++ b/seampond/platform/quarantine.py
@@ -1,4 +1,4 @@
-"""Trials of quarantined requests as the platform's store keeps them."""
+"""Storage of quarantine trials in the platform's store."""
 
 import logging
 from collections.abc import Mapping
@@ -13,12 +13,12 @@
 from seampond.quarantine.models import TrialRow
 from seampond.watches import Row
 
-_HEX = 16
+_HEX_BASE = 16
 _logger = logging.getLogger(__name__)
 
 
 class _Trial(msgspec.Struct, frozen=True):
-    """The content of a row, which is our own."""
+    """The content of a row."""
 
     trials: NonNegativeInt
     at_ms: NonNegativeInt
@@ -28,30 +28,30 @@
     """The table of trials."""
 
     def __init__(self, table: StoreTable) -> None:
-        """Keep the table."""
+        """Wrap a table of the store."""
         self._table = table
 
     @property
     def era(self) -> int:
-        """How often the store was restored, as far as known."""
+        """The store's era, 0 if unknown."""
         return self._table.era
 
     async def read_trials(self) -> Mapping[int, TrialRow]:
-        """Read all rows; what cannot be read is no row of ours."""
+        """Read all rows; rows that cannot be parsed are logged and skipped."""
         page = await self._table.read_all()
         rows: dict[int, TrialRow] = {}
         for row in page.rows:
             try:
-                rows[int(row.key, _HEX)] = _read(row)
+                rows[int(row.key, _HEX_BASE)] = _parse(row)
             except (PlatformError, ValueError) as error:
                 _logger.warning(
-                    'row of a trial refused',
+                    'invalid trial row ignored',
                     extra={'key': row.key, 'reason': str(error)},
                 )
         return rows
 
     async def write_trial(self, request: int, row: TrialRow) -> None:
-        """Write a row if the one that is there has this row's version."""
+        """Write a row if the stored one still has its version."""
         name = (names.QUARANTINE_TABLE, format_fingerprint(request))
         content = msgspec.json.encode(_Trial(row.trials, row.at_ms))
         await self._table.commit(
@@ -63,6 +63,6 @@
         await self._table.remove(format_fingerprint(request), version)
 
 
-def _read(row: Row) -> TrialRow:
+def _parse(row: Row) -> TrialRow:
     trial = decode_row(row.content, _Trial, step='quarantine', peer=row.key)
     return TrialRow(trial.trials, trial.at_ms, row.version)
--- a/seampond/platform/rollouts.py
+++ b/seampond/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Orders and states of roll-outs as the platform's store keeps them."""
+"""Rows of rollout orders, states and steps in the platform's store."""
 
 import json
 from collections.abc import Mapping
@@ -15,17 +15,19 @@
 from seampond.rollouts import Change, Order, State, Status, Step
 from seampond.watches import Row, revision_of
 
-_STATES = MappingProxyType(
+_STATES_BY_NAME = MappingProxyType(
     {
         'running': State.running,
         'done': State.done,
         'rolled_back': State.rolled_back,
     }
 )
-_WORDS = MappingProxyType({state: word for word, state in _STATES.items()})
+_STATE_NAMES = MappingProxyType(
+    {state: name for name, state in _STATES_BY_NAME.items()}
+)
 
 
-_STEP = 'rollout'
+_ERROR_STEP = 'rollout'
 
 
 class _Order(msgspec.Struct, frozen=True, rename='kebab'):
@@ -40,7 +42,7 @@
 
 
 class _Step(msgspec.Struct, frozen=True, rename='kebab'):
-    """Our own row beside the status, which the platform does not read."""
+    """A step, shared among gateways only; the platform does not read it."""
 
     order: NonNegativeInt
     is_closing: bool
@@ -48,27 +50,27 @@
 
 
 def is_order_row(row: Row) -> bool:
-    """Tell whether a row of the operators' table is about a roll-out."""
+    """Return True if a row of the configuration table is a rollout order."""
     return row.key.startswith(names.ROLLOUT_PREFIX)
 
 
 def pool_name(row: Row) -> str:
-    """Give the pool that a row is about."""
+    """Return the pool that a row is about."""
     return row.key.partition('/')[2]
 
 
 def parse_order(row: Row) -> Order:
-    """Read an operator's order.
+    """Parse an operator's order.
 
     Explanation
     -----------
-    It is known by the store's own number, as are its state and step: a row
-    that a restore of the store has kept is still the same order.
+    An order is identified by its row's version number without the era, so
+    that an order kept by a restore of the store is still the same order.
 
     Raises
     ------
     PlatformError
-        If it is none; says which field is wrong.
+        If the row is not valid; names the invalid field.
 
     Examples
     --------
@@ -80,11 +82,11 @@
     order = _decode(row, _Order)
     pool = pool_name(row)
     if order.service != pool:
-        raise _refuse(row, f'`service` is {order.service!r}, not {pool!r}')
+        raise _make_error(row, f'`service` is {order.service!r}, not {pool!r}')
     if not order.target_version:
-        raise _refuse(row, '`target-version` is empty')
+        raise _make_error(row, '`target-version` is empty')
     if not order.duration_s > 0:
-        raise _refuse(row, '`duration-s` is not above 0')
+        raise _make_error(row, '`duration-s` is not above 0')
     duration_ms = round(order.duration_s * MS_PER_SECOND)
     return Order(
         pool, order.target_version, duration_ms, revision_of(row.version)
@@ -92,38 +94,38 @@
 
 
 def parse_status(row: Row) -> Status:
-    """Read what the store says of an order.
+    """Parse the status of an order.
 
     Raises
     ------
     PlatformError
-        If it is none.
+        If the row is not valid.
 
     """
     status = _decode(row, _Status)
-    state = _STATES.get(status.state)
+    state = _STATES_BY_NAME.get(status.state)
     if state is None:
-        raise _refuse(row, f'`state` is {status.state!r}')
+        raise _make_error(row, f'`state` is {status.state!r}')
     return Status(state, status.target_version, revision_of(row.version))
 
 
 def is_status_row(row: Row) -> bool:
-    """Tell whether a row of the table of states is about a roll-out."""
+    """Return True if a row of the status table is a rollout status."""
     return row.key.startswith(names.ROLLOUT_PREFIX)
 
 
 def is_step_row(row: Row) -> bool:
-    """Tell whether a row is what the gateways agree on beside a state."""
+    """Return True if a row of the status table is a rollout step."""
     return row.key.startswith(names.STEP_PREFIX)
 
 
 def parse_step(row: Row) -> Step:
-    """Read what the gateways have agreed on.
+    """Parse a rollout step.
 
     Raises
     ------
     PlatformError
-        If it is nothing of that kind.
+        If the row is not valid.
 
     """
     step = _decode(row, _Step)
@@ -133,23 +135,29 @@
 
 
 def encode_transaction(change: Change) -> RowTransaction:
-    """Give the rows that a change rests on and those that it writes."""
+    """Return the transaction that writes a change.
+
+    Explanation
+    -----------
+    It is committed only if the order, status and step are still those that
+    the change was decided on.
+    """
     key = f'{names.ROLLOUT_PREFIX}{change.pool}'
     step_key = f'{names.STEP_PREFIX}{change.pool}'
     status = (names.STATUS_TABLE, key)
     step = (names.STATUS_TABLE, step_key)
     puts: dict[tuple[str, str], bytes] = {}
     if change.state is not None:
-        told = {
-            'state': _WORDS[change.state],
+        status_content = {
+            'state': _STATE_NAMES[change.state],
             'target-version': change.target,
         }
-        puts[status] = _encode(told)
+        puts[status] = _encode_json(status_content)
     if change.step is not None:
-        told_step = _Step(
+        step_content = _Step(
             change.step.order, change.step.is_closing, change.step.since_ms
         )
-        puts[step] = msgspec.json.encode(told_step)
+        puts[step] = msgspec.json.encode(step_content)
     expected = {
         (names.CONFIGURATION_TABLE, key): change.order_version,
         status: change.status_version,
@@ -158,13 +166,13 @@
     return RowTransaction(expected, puts)
 
 
-def _encode(told: Mapping[str, str]) -> bytes:
-    return json.dumps(told).encode()
+def _encode_json(content: Mapping[str, str]) -> bytes:
+    return json.dumps(content).encode()
 
 
-def _decode(row: Row, wanted: type[Any]) -> Any:
-    return decode_row(row.content, wanted, step=_STEP, peer=row.key)
+def _decode(row: Row, model: type[Any]) -> Any:
+    return decode_row(row.content, model, step=_ERROR_STEP, peer=row.key)
 
 
-def _refuse(row: Row, why: str) -> PlatformError:
-    return PlatformError(why, step=_STEP, peer=row.key)
+def _make_error(row: Row, message: str) -> PlatformError:
+    return PlatformError(message, step=_ERROR_STEP, peer=row.key)
--- a/seampond/platform/rows.py
+++ b/seampond/platform/rows.py
@@ -1,7 +1,7 @@
-"""Rows of the platform's tables, read into typed models.
+"""Decoding of rows of the platform's tables into typed models.
 
-Whoever may write to a table may write anything: what is no row of ours must be
-an error that names the row, whatever its bytes are.
+A row may hold any bytes.  An invalid row always raises `PlatformError` that
+names the row.
 """
 
 import ipaddress
@@ -11,21 +11,21 @@
 
 from seampond.errors import PlatformError
 
-# Beyond this a count or a time in milliseconds is none: the year 5138.
-_WHOLE_MAX = 100_000_000_000_000
+# Highest plausible count, or time in milliseconds (the year 5138).
+_NUMBER_MAX = 100_000_000_000_000
 _PORT_MAX = 65_535
 _TEXT_MAX = 200
-# A row that is nested more deeply than the parser goes is a `RecursionError`,
-# a text with lone surrogates or no UTF-8 a `ValueError`.
-_NOT_A_ROW = (
+# Deep nesting raises `RecursionError`; lone surrogates and bytes that are not
+# UTF-8 raise `ValueError`.
+_DECODE_ERRORS = (
     msgspec.MsgspecError,
     RecursionError,
     OverflowError,
     ValueError,
 )
 
-NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=_WHOLE_MAX)]
-NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0, le=_WHOLE_MAX)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=_NUMBER_MAX)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0, le=_NUMBER_MAX)]
 NonEmptyText = Annotated[str, msgspec.Meta(min_length=1, max_length=_TEXT_MAX)]
 _Model = TypeVar('_Model')
 
@@ -38,17 +38,17 @@
     peer: str = '',
     is_strict: bool = True,
 ) -> _Model:
-    """Read the content of a row.
+    """Decode the content of a row.
 
     Parameters
     ----------
     is_strict : bool
-        Whether a text in place of a number is an error.
+        Whether a string in place of a number is an error.
 
     Raises
     ------
     PlatformError
-        If it is not what the model says; names the first bad field.
+        If the content does not fit the model; names the first invalid field.
 
     Examples
     --------
@@ -60,18 +60,18 @@
     """
     try:
         return msgspec.json.decode(content, type=model, strict=is_strict)
-    except _NOT_A_ROW as error:
+    except _DECODE_ERRORS as error:
         name = type(error).__name__
         raise PlatformError(f'{name}: {error}', step=step, peer=peer) from error
 
 
 def validate_address(address: str) -> str:
-    """Give an address of four numbers and a port as it is.
+    """Return an address unchanged if it is an IPv4 address and a port.
 
     Raises
     ------
     ValueError
-        If it is none.
+        If it is not.
 
     Examples
     --------
@@ -80,14 +80,16 @@
     >>> validate_address('10.0.0.9:65536')
     Traceback (most recent call last):
         ...
-    ValueError: no address: '10.0.0.9:65536'
+    ValueError: not an IPv4 address and port: '10.0.0.9:65536'
 
     """
     host, _, port = address.rpartition(':')
     try:
         ipaddress.IPv4Address(host)
     except ValueError as error:
-        raise ValueError(f'no address: {address!r}') from error
+        raise ValueError(
+            f'not an IPv4 address and port: {address!r}'
+        ) from error
     if not (port.isascii() and port.isdigit() and 0 < int(port) <= _PORT_MAX):
-        raise ValueError(f'no address: {address!r}')
+        raise ValueError(f'not an IPv4 address and port: {address!r}')
     return address
--- a/seampond/platform/servers.py
+++ b/seampond/platform/servers.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers, read into the product's own."""
+"""Parsing of rows of the platform's list of servers."""
 
 import msgspec
 
@@ -13,11 +13,11 @@
 )
 
 _STATES = frozenset((names.READY_STATE, names.DRAINING_STATE))
-_STEP = 'servers'
+_ERROR_STEP = 'servers'
 
 
 class _Server(msgspec.Struct, frozen=True, kw_only=True, rename='kebab'):
-    """A row of the list; unknown fields are passed over."""
+    """A server's row; unknown fields are ignored."""
 
     service: NonEmptyText
     address: NonEmptyText
@@ -29,7 +29,7 @@
     born: NonNegativeInt = 0
 
     def __post_init__(self) -> None:
-        """Check what a type cannot say."""
+        """Validate the address, the state and the number of slots."""
         validate_address(self.address)
         if self.state not in _STATES:
             raise ValueError(f'`state` is {self.state!r}')
@@ -38,12 +38,12 @@
 
 
 def parse_server(server_id: str, content: bytes) -> Server:
-    """Read the row of one server.
+    """Parse the row of one server.
 
     Raises
     ------
     PlatformError
-        If it is none.
+        If the row is not valid.
 
     Examples
     --------
@@ -55,7 +55,7 @@
     False
 
     """
-    row = decode_row(content, _Server, step=_STEP, peer=server_id)
+    row = decode_row(content, _Server, step=_ERROR_STEP, peer=server_id)
     return Server(
         id=server_id,
         pool=row.service,
--- a/seampond/platform/store.py
+++ b/seampond/platform/store.py
@@ -34,20 +34,18 @@
     revision_of,
 )
 
-# Some hundred times what the store needs for an answer on a good day, and
-# less than the age at which what is believed of it counts as old.
-_SILENCE_MS = 900
-# An answer that keeps coming is no sign of a dead store: 520 KB need 0.83 s of
-# a link of 5 Mbit/s that carries nothing else.  Changes may be too many, which
-# a whole read never is; a page of it is 1.5 MB at the most, 2.4 s of that link.
-_CHANGES_MS = 2000
-_WHOLE_MS = 8000
-# The pages bound an answer at 1 MB; its values are half as long again.
+# Shorter than the age at which a table's copy counts as stale.
+_INACTIVITY_TIMEOUT_MS = 900
+# Bodies may take longer than the inactivity timeout on a slow link.  Reads of
+# a whole table get more time, since nothing can replace them.
+_CHANGES_TIMEOUT_MS = 2000
+_TABLE_TIMEOUT_MS = 8000
+# The store limits a page to 1 MB before base64.
 _ANSWER_MAX_BYTES = 4_194_304
 _CALL_ID = b'call'
-_NOT_AN_ANSWER = (ValueError, KeyError, TypeError)
+_DECODE_ERRORS = (ValueError, KeyError, TypeError)
 _logger = logging.getLogger(__name__)
-_FAILURES = (ExchangeError, TimeoutError, *_NOT_AN_ANSWER)
+_CALL_ERRORS = (ExchangeError, TimeoutError, *_DECODE_ERRORS)
 
 
 RowName = tuple[str, str]
@@ -55,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RowTransaction:
-    """What one call writes, and what it rests on; rows by table and key.
+    """Conditional writes and removals of rows, applied together.
 
     Parameters
     ----------
     expected : Mapping[RowName, int]
-        The versions that rows must have, 0 for no row.  One with an era holds
-        in that era only.
+        The versions that rows must have, 0 for no row.  A version with an era
+        holds in that era only.
 
     """
 
@@ -71,56 +69,59 @@
 
 
 class Store:
-    """The platform's store.
+    """Client of the platform's store.
 
     Explanation
     -----------
-    The calls go over the same exchange as requests do, one after another on
-    one connection.  It is dropped at the first failure: an answer that comes
-    late must not be taken for the next call's.
+    Calls are made one after another on one connection.  It is closed at the
+    first failure, so that a late answer is not taken for the next call's.
     """
 
     def __init__(self, address: str, clock: Clock) -> None:
-        """Keep the address."""
+        """Create a client that is not connected yet."""
         self._address = address
         self._clock = clock
         self._connection: Connection | None = None
-        # The newest that an answer has told of.
         self._era = 0
 
     @property
     def era(self) -> int:
-        """How often the store was restored, as far as known; 0 if not."""
+        """The newest era among the answers, 0 if unknown.
+
+        The store increments its era at each restore from a backup.
+        """
         return self._era
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
     async def read(self, table: str) -> Page:
-        """Read all rows of a table, as of one moment or later.
+        """Read all rows of a table, page by page.
 
         Explanation
         -----------
-        It is as old as its first page: what changes before the last one is
-        read belongs to the changes that follow.
+        The version returned is that of the first page.  Rows that change
+        while later pages are read are among the changes since that version.
         """
         query = {'table': table, 'part': ''}
-        first, has_more = await self._page(
-            names.READ_PATH, query, most_ms=_WHOLE_MS
+        first, has_more = await self._fetch_page(
+            names.READ_PATH, query, body_timeout_ms=_TABLE_TIMEOUT_MS
         )
         rows = list(first.rows)
         while has_more:
             last = rows[-1].key
             query[names.START_PARAMETER] = f'{last}\0'
-            page, has_more = await self._page(
-                names.READ_PATH, query, most_ms=_WHOLE_MS
+            page, has_more = await self._fetch_page(
+                names.READ_PATH, query, body_timeout_ms=_TABLE_TIMEOUT_MS
             )
             if era_of(page.version) != era_of(first.version):
                 raise PlatformError(
-                    'restored meanwhile', step='read', peer=self._address
+                    'store restored during the read',
+                    step='read',
+                    peer=self._address,
                 )
             rows.extend(page.rows)
         return replace(first, rows=tuple(rows), is_snapshot=True)
@@ -131,7 +132,8 @@
         Raises
         ------
         HistoryGoneError
-            Also if `since` is of an earlier era: the store has begun anew.
+            If the store no longer has these changes, or `since` is of an
+            earlier era.
 
         """
         query = {
@@ -139,20 +141,20 @@
             names.SINCE_PARAMETER: str(revision_of(since)),
             names.WAIT_PARAMETER: str(wait_ms),
         }
-        self._check_era(since)
-        page, _ = await self._page(names.FEED_PATH, query, wait_ms)
-        self._check_era(since)
+        self._require_current_era(since)
+        page, _ = await self._fetch_page(names.FEED_PATH, query, wait_ms)
+        self._require_current_era(since)
         return page
 
     async def put(self, table: str, key: str, content: bytes) -> None:
-        """Write one row, whatever it held.
+        """Write one row unconditionally.
 
         Raises
         ------
         UnknownOutcomeError
-            If it may have been written.
+            If the row may have been written.
         PlatformError
-            If it surely was not.
+            If it was not written.
 
         """
         await self.commit(RowTransaction({}, {(table, key): content}))
@@ -163,75 +165,85 @@
         Raises
         ------
         ConflictError
-            If it has changed.
+            If the row has changed.
         UnknownOutcomeError
-            If it may have been removed, now or some seconds later.
+            If the row may have been removed, or may be within seconds.
 
         """
         row = (table, key)
         await self.commit(RowTransaction({row: version}, {}, (row,)))
 
-    async def commit(self, change: 'RowTransaction') -> None:
-        """Write and remove rows, all or none of them.
+    async def commit(self, transaction: 'RowTransaction') -> None:
+        """Write and remove rows atomically.
 
         Raises
         ------
         ConflictError
-            If a row has not the version that is expected.
+            If a row does not have the expected version.
         UnknownOutcomeError
-            If it may have been done, now or some seconds later.
+            If the transaction may have been applied, or may be within
+            seconds.
         PlatformError
-            If it surely was not.
+            If it was not applied.
 
         """
-        if self._is_outdated(change):
+        if self._is_outdated(transaction):
             raise ConflictError(
-                'read before a restore', step='change', peer=self._address
+                'expects rows read before a restore',
+                step='change',
+                peer=self._address,
             )
         parts = {
             names.EXPECTED_FIELD: [
-                _name_row(row) | {'ver': revision_of(version)}
-                for row, version in change.expected.items()
+                _encode_row_name(row) | {'ver': revision_of(version)}
+                for row, version in transaction.expected.items()
             ],
             'put': [
-                _name_row(row) | {'value': base64.b64encode(content).decode()}
-                for row, content in change.puts.items()
+                _encode_row_name(row)
+                | {'value': base64.b64encode(content).decode()}
+                for row, content in transaction.puts.items()
+            ],
+            names.REMOVED_FIELD: [
+                _encode_row_name(row) for row in transaction.removed
             ],
-            names.REMOVED_FIELD: [_name_row(row) for row in change.removed],
         }
-        told = {name: rows for name, rows in parts.items() if rows}
-        body = json.dumps(told).encode()
+        non_empty = {name: rows for name, rows in parts.items() if rows}
+        body = json.dumps(non_empty).encode()
         status, _ = await self._call(names.TRANSACTION_PATH, body=body)
         if status == HTTPStatus.PRECONDITION_FAILED:
             raise ConflictError(
-                'a row has changed', step='change', peer=self._address
+                'an expected row has changed', step='change', peer=self._address
             )
-        if self._is_outdated(change):
+        if self._is_outdated(transaction):
             raise UnknownOutcomeError(
-                'restored meanwhile', step='change', peer=self._address
+                'store restored during the call',
+                step='change',
+                peer=self._address,
             )
 
-    def _check_era(self, since: int) -> None:
+    def _require_current_era(self, since: int) -> None:
         if since and era_of(since) < self._era:
             raise HistoryGoneError(
                 'restored', step=names.FEED_PATH, peer=self._address
             )
 
-    def _is_outdated(self, change: RowTransaction) -> bool:
-        """Whether a change rests on a version of an earlier era."""
-        eras = [era_of(version) for version in change.expected.values()]
+    def _is_outdated(self, transaction: RowTransaction) -> bool:
+        """Return True if a version of an earlier era is expected."""
+        eras = [era_of(version) for version in transaction.expected.values()]
         return any(0 < era < self._era for era in eras)
 
-    async def _page(
+    async def _fetch_page(
         self,
         path: str,
         query: Mapping[str, str],
         wait_ms: int = 0,
-        most_ms: int = _CHANGES_MS,
+        body_timeout_ms: int = _CHANGES_TIMEOUT_MS,
     ) -> tuple[Page, bool]:
         sent_ms = self._clock.now()
         target = f'{path}?{urlencode(query)}'
-        status, content = await self._call(target, wait_ms, most_ms=most_ms)
+        status, content = await self._call(
+            target, wait_ms, body_timeout_ms=body_timeout_ms
+        )
         try:
             page = Page(
                 tuple(_read_row(row, self._era) for row in content['rows']),
@@ -241,8 +253,8 @@
                 self._clock.now(),
                 is_snapshot=False,
             )
-        except _NOT_AN_ANSWER as error:
-            raise self._failure(path, error) from error
+        except _DECODE_ERRORS as error:
+            raise self._make_error(path, error) from error
         return page, bool(content.get('more'))
 
     async def _call(
@@ -251,27 +263,29 @@
         wait_ms: int = 0,
         *,
         body: bytes | None = None,
-        most_ms: int = _CHANGES_MS,
+        body_timeout_ms: int = _CHANGES_TIMEOUT_MS,
     ) -> tuple[int, Any]:
-        """Make one call; give the status and the content of its answer.
+        """Make one call; return the status and the decoded body.
 
         Parameters
         ----------
         wait_ms : int
             How long the store may hold the call before it answers.
-        most_ms : int
-            How long the answer may go on coming.
+        body_timeout_ms : int
+            Timeout for the body, counted from the head.
 
         """
         step = target.partition('?')[0]
         try:
-            async with asyncio.timeout((wait_ms + _SILENCE_MS) / MS_PER_SECOND):
-                connection, head = await self._ask(target, body)
-            async with asyncio.timeout(most_ms / MS_PER_SECOND):
-                text = await self._finish(connection, head)
+            async with asyncio.timeout(
+                (wait_ms + _INACTIVITY_TIMEOUT_MS) / MS_PER_SECOND
+            ):
+                connection, head = await self._send_call(target, body)
+            async with asyncio.timeout(body_timeout_ms / MS_PER_SECOND):
+                text = await self._read_body(connection, head)
             content = json.loads(text) if head.status == HTTPStatus.OK else None
-        except _FAILURES as error:
-            failure = self._failure(step, error)
+        except _CALL_ERRORS as error:
+            failure = self._make_error(step, error)
             self.close()
             raise failure from error
         except asyncio.CancelledError:
@@ -287,34 +301,34 @@
             )
         return head.status, content
 
-    async def _ask(
+    async def _send_call(
         self, target: str, body: bytes | None
     ) -> tuple[Connection, ResponseHead]:
-        """Send one call; give the head of its answer."""
+        """Send one call; return the connection and the answer's head."""
         connection = self._connection
         if connection is None or not connection.is_usable:
             self.close()
             connection = await open_connection(
-                self._address, self._clock, b'', _SILENCE_MS
+                self._address, self._clock, b'', _INACTIVITY_TIMEOUT_MS
             )
             self._connection = connection
-        connection.send(_CALL_ID, self._make_packet(target, body))
+        connection.send(_CALL_ID, self._encode_call(target, body))
         head = await connection.read_head()
-        self._note_era(head)
+        self._update_era(head)
         return connection, head
 
-    def _note_era(self, head: ResponseHead) -> None:
-        """Take the era that an answer tells, whatever else it says.
+    def _update_era(self, head: ResponseHead) -> None:
+        """Update the era from the header of an answer.
 
         Raises
         ------
         PlatformError
-            If the answer is of an earlier era than one before it.
+            If the answer is of an earlier era than a previous one.
 
         """
-        told = head.get(names.ERA_HEADER)
-        # Counted from 1: without the header nothing is known of an era.
-        era = int(told) + 1 if told.isdigit() else self._era
+        header = head.get(names.ERA_HEADER)
+        # Counted from 1, since 0 means that the era is unknown.
+        era = int(header) + 1 if header.isdigit() else self._era
         if era < self._era:
             self.close()
             raise PlatformError(
@@ -324,16 +338,18 @@
             _logger.warning('store was restored', extra={'era': era})
         self._era = era
 
-    async def _finish(
+    async def _read_body(
         self, connection: Connection, head: ResponseHead
     ) -> bytes:
-        """Give the body of an answer, as long as it keeps coming."""
-        text = await connection.read_body(_ANSWER_MAX_BYTES, _SILENCE_MS)
+        """Read the body of an answer; forget a connection that is closing."""
+        text = await connection.read_body(
+            _ANSWER_MAX_BYTES, _INACTIVITY_TIMEOUT_MS
+        )
         if not connection.finish(parse_keep_alive_ms(head)):
             self._connection = None
         return text
 
-    def _make_packet(self, target: str, body: bytes | None) -> bytes:
+    def _encode_call(self, target: str, body: bytes | None) -> bytes:
         method = 'GET' if body is None else 'POST'
         lines = [f'{method} {target} HTTP/1.1', f'host: {self._address}']
         if body is not None:
@@ -342,8 +358,8 @@
         head = '\r\n'.join(lines)
         return b'%b\r\n\r\n%b' % (head.encode(), body or b'')
 
-    def _failure(self, step: str, error: Exception) -> PlatformError:
-        """Tell whether the store was silent or its answer did not end."""
+    def _make_error(self, step: str, error: Exception) -> PlatformError:
+        """Return the error for a call that was cut off or not answered."""
         message = f'{type(error).__name__} {error}'.strip()
         received = self._connection.received_bytes if self._connection else 0
         if received and isinstance(error, (ExchangeError, TimeoutError)):
@@ -354,16 +370,16 @@
 
 
 class StoreTable:
-    """One table of the store, as something to follow."""
+    """One table of the store."""
 
     def __init__(self, store: Store, name: str) -> None:
-        """Name the table."""
+        """Bind a client to a table."""
         self.name = name
         self._store = store
 
     @property
     def era(self) -> int:
-        """How often the store was restored, as far as known; 0 if not."""
+        """The newest era among the answers, 0 if unknown."""
         return self._store.era
 
     async def read_all(self) -> Page:
@@ -375,19 +391,19 @@
         return await self._store.read_changes(self.name, since, wait_ms)
 
     async def put(self, key: str, content: bytes) -> None:
-        """Write one row, whatever it held."""
+        """Write one row unconditionally."""
         await self._store.put(self.name, key, content)
 
     async def remove(self, key: str, version: int) -> None:
         """Remove one row if it still has this version."""
         await self._store.remove(self.name, key, version)
 
-    async def commit(self, change: RowTransaction) -> None:
-        """Write and remove rows, also of other tables, all or none."""
-        await self._store.commit(change)
+    async def commit(self, transaction: RowTransaction) -> None:
+        """Write and remove rows, also of other tables, atomically."""
+        await self._store.commit(transaction)
 
 
-def _name_row(row: RowName) -> dict[str, object]:
+def _encode_row_name(row: RowName) -> dict[str, object]:
     table, key = row
     return {'table': table, 'part': '', names.KEY_FIELD: key}
 
@@ -405,7 +421,7 @@
 async def open_table(
     address: str, table: str, clock: Clock
 ) -> AsyncIterator[StoreTable]:
-    """Give a table of the store until the end of the `with`."""
+    """Open a client for one table until the end of the `with`."""
     store = Store(address, clock)
     try:
         yield StoreTable(store, table)
--- a/seampond/testing/narrow_links.py
+++ b/seampond/testing/narrow_links.py
@@ -5,7 +5,11 @@
 
 from seampond.clock import Clock
 from seampond.errors import CutAnswerError, PlatformError
-from seampond.platform.store import _CHANGES_MS, _SILENCE_MS, _WHOLE_MS
+from seampond.platform.store import (
+    _CHANGES_TIMEOUT_MS,
+    _INACTIVITY_TIMEOUT_MS,
+    _TABLE_TIMEOUT_MS,
+)
 from seampond.watches import HistoryGoneError, Page, Row
 
 _STORE_AHEAD_MS = 1_000_000
@@ -85,7 +89,9 @@
         sent_ms = self._clock.now()
         await self._reach()
         rows = tuple(self._table.rows.values())
-        return await self._carry(rows, sent_ms, _WHOLE_MS, is_snapshot=True)
+        return await self._carry(
+            rows, sent_ms, _TABLE_TIMEOUT_MS, is_snapshot=True
+        )
 
     async def read_changes(self, since: int, wait_ms: int) -> Page:
         """Wait for changes, then read each that was made since."""
@@ -103,16 +109,20 @@
             if self._link.is_cut:
                 # No sign comes; the call ends when its time is over.
                 left_ms = sent_ms + wait_ms - self._clock.now()
-                await self._clock.sleep(max(0, left_ms) + _SILENCE_MS)
+                await self._clock.sleep(
+                    max(0, left_ms) + _INACTIVITY_TIMEOUT_MS
+                )
                 raise PlatformError('TimeoutError', step=_STEP)
-        return await self._carry(rows, sent_ms, _CHANGES_MS, is_snapshot=False)
+        return await self._carry(
+            rows, sent_ms, _CHANGES_TIMEOUT_MS, is_snapshot=False
+        )
 
     async def _reach(self) -> None:
         await self._clock.sleep(_LATENCY_MS)
         if not self._link.is_cut:
             return
         if not self._link.refuses:
-            await self._clock.sleep(_SILENCE_MS)
+            await self._clock.sleep(_INACTIVITY_TIMEOUT_MS)
         raise PlatformError('no way there', step=_STEP)
 
     async def _carry(
