--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -1,4 +1,4 @@
-"""Let a request in: size, configuration, route, key, quota."""
+"""Admission of requests by configuration, route, key and quota."""
 
 import random
 from collections.abc import Callable
@@ -18,30 +18,30 @@
 from seampond.quarantine import fingerprint
 
 _STEP = 'admit'
-_NOT_READY_MS = 500
-_STALE_MS = 1000
-# Longer than a proof is old while gateways and store are well: 2.3 s and what
-# a call takes.
-_DENY_PROOF_MS = 4000
-# By then another gateway is asked, or ours has read what it lacks: 0.08 s after
-# a change was acknowledged where 27 gateways hear each other.
-_OUTDATED_MS = 250
-_DEFAULT_PATIENCE_MS = 60_000
-_REPEAT_PART = 0.97
+_NOT_READY_RETRY_MS = 500
+_UNPROVED_RETRY_MS = 1000
+# Greater than the age of a proof while gateways and store are healthy.
+_MAX_DENY_PROOF_AGE_MS = 4000
+# By then this gateway should have read the newer configuration.
+_OUTDATED_RETRY_MS = 250
+_DEFAULT_MAX_WAIT_MS = 60_000
+# A caller that waits for less than this fraction of the longest wait of its
+# route has used up some of its time.
+_RETRY_FRACTION = 0.97
 
 
 def _never() -> bool:
-    """Hear of no newer configuration."""
+    """Return False: no newer configuration is known."""
     return False
 
 
 class ChargeFunction(Protocol):
-    """Charges a quota."""
+    """Charge a tenant's quota."""
 
     def __call__(
         self, tenant: Tenant, units: float, rank: int, *, has_idle_slots: bool
     ) -> int:
-        """Give 0, or the milliseconds until there may be enough."""
+        """Return 0 if charged, else the milliseconds until a retry."""
 
 
 @dataclass(slots=True)
@@ -51,9 +51,9 @@
     Parameters
     ----------
     proved_ms : int or None
-        The latest moment at which it was surely the newest, None for never.
+        Latest time at which it was proved the newest, None for never.
     is_outdated : Callable[[], bool]
-        Tells whether there is a newer one that we do not hold.
+        Return True if a newer one is known that has not been read yet.
 
     """
 
@@ -62,19 +62,19 @@
     is_outdated: Callable[[], bool] = _never
 
     def may_deny(self, now_ms: int) -> bool:
-        """Tell whether what it does not allow is surely not allowed."""
+        """Return True if requests that it does not allow may be denied."""
         age_ms = self.proof_age_ms(now_ms)
-        is_proved = age_ms is not None and age_ms <= _DENY_PROOF_MS
+        is_proved = age_ms is not None and age_ms <= _MAX_DENY_PROOF_AGE_MS
         return is_proved and not self.is_outdated()
 
     def proof_age_ms(self, now_ms: int) -> int | None:
-        """Give how long ago it was proved the newest, None for never."""
+        """Return how long ago it was proved the newest, None for never."""
         return None if self.proved_ms is None else now_ms - self.proved_ms
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request that has just come."""
+    """The head of a request that has just arrived."""
 
     method: bytes
     target: bytes
@@ -82,15 +82,15 @@
     arrived_ms: int
 
     def get(self, name: bytes) -> bytes:
-        """Give the first value of a header, empty if there is none."""
-        for known, text in self.headers:
-            if known == name:
+        """Return the first value of a header, empty if it is missing."""
+        for header, text in self.headers:
+            if header == name:
                 return text
         return b''
 
 
 def choose_pool(route: Route, rng: random.Random) -> str:
-    """Give a pool of the route, each as often as its weight says."""
+    """Return a pool of the route, drawn by weight."""
     if len(route.shares) == 1:
         return route.shares[0].pool
     weights = [share.weight for share in route.shares]
@@ -98,27 +98,27 @@
 
 
 class Admission:
-    """Checks requests against the configuration in force.
+    """Check requests against the configuration in force.
 
     Parameters
     ----------
     max_proof_age_ms : int or None
-        How old the proof of the configuration may be for a request with a
-        key, which may have been taken away since; None for any age, where a
-        removed key may be served while the store cannot be reached.
+        Greatest age of the proof of the configuration for requests with a
+        key, which may have been revoked since.  None for any age: revoked
+        keys may then be served while the store is unreachable.
     charge : ChargeFunction
-        Charges a quota for work of an urgency; gives the wait in
-        milliseconds where it is used up.
+        Charge a quota for a request of a priority; return the wait in
+        milliseconds if it is exhausted.
     has_spare_capacity : Callable[[str], bool]
-        Tells whether the servers of a pool have places that nobody waits for.
+        Return True if a pool has free slots and no queue.
     refund : Callable[[Tenant, float], None]
-        Takes a charge back.
+        Refund a charge.
 
     """
 
     def __init__(
         self,
-        belief: ConfigurationState,
+        configuration_state: ConfigurationState,
         names: HeaderNames,
         clock: Clock,
         max_proof_age_ms: int | None,
@@ -126,8 +126,8 @@
         refund: Callable[[Tenant, float], None],
         has_spare_capacity: Callable[[str], bool],
     ) -> None:
-        """Keep the parts."""
-        self._belief = belief
+        """Start without a record of callers' waits."""
+        self._configuration_state = configuration_state
         self._names = names
         self._clock = clock
         self.max_proof_age_ms = max_proof_age_ms
@@ -135,34 +135,33 @@
         self._refund = refund
         self._has_spare_capacity = has_spare_capacity
         self._rng = random.Random()
-        # By route, the longest that a caller was ready to wait.
-        self._longest: dict[str, int] = {}
+        self._longest_wait_ms: dict[str, int] = {}
 
     @property
     def limits(self) -> RequestLimits:
-        """What a caller may send now."""
-        configuration = self._belief.configuration
+        """The limits on what a caller may send."""
+        configuration = self._configuration_state.configuration
         return configuration.limits if configuration else RequestLimits()
 
     @property
     def id_header(self) -> bytes:
-        """The header that names a request."""
+        """The name of the header with the request id."""
         return self._names.request_id
 
     @property
     def version(self) -> int:
         """The version of the configuration in force, 0 for none."""
-        configuration = self._belief.configuration
+        configuration = self._configuration_state.configuration
         return configuration.version if configuration else 0
 
     @property
     def proof_age_ms(self) -> int | None:
-        """How long ago the configuration was proved newest, None for never."""
-        return self._belief.proof_age_ms(self._clock.now())
+        """The age of the proof of the configuration, None without one."""
+        return self._configuration_state.proof_age_ms(self._clock.now())
 
     @property
     def is_proved(self) -> bool:
-        """Whether requests with a key may be served by it."""
+        """Whether the configuration allows serving requests with a key."""
         if self.max_proof_age_ms is None:
             return True
         age_ms = self.proof_age_ms
@@ -174,141 +173,143 @@
         Raises
         ------
         Refusal
-            If a key that was taken away might still be served.
+            If a revoked key might be served.
 
         """
         if job.tenant is not None and not self.is_proved:
             raise Refusal(
-                Cause.unproved, step='proof', retry_after_ms=_STALE_MS
+                Cause.unproved, step='proof', retry_after_ms=_UNPROVED_RETRY_MS
             )
 
-    def admit(self, arrival: RequestHead, body: bytes) -> Job:
-        """Make the job of a request that the configuration allows.
+    def admit(self, head: RequestHead, body: bytes) -> Job:
+        """Return the job for a request that the configuration allows.
 
         Raises
         ------
         Refusal
-            If it may not.
+            If the request is not allowed.
 
         """
-        configuration = self._belief.configuration
+        configuration = self._configuration_state.configuration
         if configuration is None:
             raise Refusal(
-                Cause.not_ready, step=_STEP, retry_after_ms=_NOT_READY_MS
+                Cause.not_ready, step=_STEP, retry_after_ms=_NOT_READY_RETRY_MS
             )
-        route = self._find_route(configuration, arrival)
-        tenant = self._find_tenant(configuration, route, arrival)
-        return self._make_job(arrival, body, route, tenant)
+        route = self._find_route(configuration, head)
+        tenant = self._find_tenant(configuration, route, head)
+        return self._make_job(head, body, route, tenant)
 
     def check(self, job: Job) -> None:
-        """Check what may change from one request to the next.
+        """Check the proof of the configuration and charge the quota.
 
         Raises
         ------
         Refusal
-            If the configuration is unproved or the quota is used up.
+            If the configuration is unproved or the quota exhausted.
 
         """
         self.check_proof(job)
         self._check_quota(job)
 
     def refund(self, job: Job) -> None:
-        """Take the charge of a request back that no server has run."""
+        """Refund the charge of a request that no server has run."""
         if job.tenant is not None and job.charged_units:
             self._refund(job.tenant, job.charged_units)
             job.charged_units = 0
 
     def _find_route(
-        self, configuration: Configuration, arrival: RequestHead
+        self, configuration: Configuration, head: RequestHead
     ) -> Route:
-        host = arrival.get(b'host').decode('latin-1').partition(':')[0].lower()
-        path = arrival.target.partition(b'?')[0].decode('latin-1')
+        host = head.get(b'host').decode('latin-1').partition(':')[0].lower()
+        path = head.target.partition(b'?')[0].decode('latin-1')
         route = configuration.find_route(host, path)
         if route is None:
             raise self._deny(Cause.no_route)
         return route
 
     def _find_tenant(
-        self, configuration: Configuration, route: Route, arrival: RequestHead
+        self, configuration: Configuration, route: Route, head: RequestHead
     ) -> Tenant | None:
         if route.is_public or not configuration.has_tenants:
             return None
-        words = arrival.get(b'authorization').decode('latin-1').split()
+        credentials = head.get(b'authorization').decode('latin-1').split()
         tenant = None
-        if len(words) == 2 and words[0].lower() == self._names.scheme:
-            tenant = configuration.find_tenant(words[1])
+        if (
+            len(credentials) == 2
+            and credentials[0].lower() == self._names.scheme
+        ):
+            tenant = configuration.find_tenant(credentials[1])
         if tenant is None:
             raise self._deny(Cause.wrong_key)
         return tenant
 
     def _deny(self, cause: Cause) -> Refusal:
-        """Give why a caller is turned away whom our configuration denies.
+        """Return the refusal of a request that the configuration denies.
 
         Explanation
         -----------
-        A caller takes 404 and 401 as final.  Where a newer configuration may
-        allow what ours does not, it should ask another gateway.
+        Callers take 404 and 401 as final.  Where a newer configuration may
+        allow the request, the caller should try another gateway instead.
         """
-        if self._belief.may_deny(self._clock.now()):
+        if self._configuration_state.may_deny(self._clock.now()):
             return Refusal(cause, step=_STEP)
-        return Refusal(Cause.outdated, step=_STEP, retry_after_ms=_OUTDATED_MS)
+        return Refusal(
+            Cause.outdated, step=_STEP, retry_after_ms=_OUTDATED_RETRY_MS
+        )
 
     def _make_job(
         self,
-        arrival: RequestHead,
+        head: RequestHead,
         body: bytes,
         route: Route,
         tenant: Tenant | None,
     ) -> Job:
         names = self._names
-        patience = arrival.get(names.deadline)
-        max_wait_ms = _DEFAULT_PATIENCE_MS
-        if patience.isdigit():
-            max_wait_ms = int(patience)
-        prompt = parse_prompt(
-            arrival.get(names.tokens), arrival.get(names.prompt)
-        )
+        stated_wait = head.get(names.deadline)
+        max_wait_ms = _DEFAULT_MAX_WAIT_MS
+        if stated_wait.isdigit():
+            max_wait_ms = int(stated_wait)
+        prompt = parse_prompt(head.get(names.tokens), head.get(names.prompt))
         priority = route.priority
         if tenant is not None and tenant.priority is not None:
             priority = tenant.priority
-        held_ms = min(route.timeout_ms, max_wait_ms)
+        timeout_ms = min(route.timeout_ms, max_wait_ms)
         return Job(
-            request_id=arrival.get(names.request_id),
-            method=arrival.method,
-            target=arrival.target,
-            headers=arrival.headers,
+            request_id=head.get(names.request_id),
+            method=head.method,
+            target=head.target,
+            headers=head.headers,
             body=body,
             route=route,
             tenant=tenant,
             pool=choose_pool(route, self._rng),
             priority=priority,
-            arrived_ms=arrival.arrived_ms,
+            arrived_ms=head.arrived_ms,
             max_wait_ms=max_wait_ms,
-            deadline_ms=arrival.arrived_ms + held_ms,
+            deadline_ms=head.arrived_ms + timeout_ms,
             prompt=prompt,
-            last_event=arrival.get(names.last_event),
+            last_event=head.get(names.last_event),
             is_retry=self._is_retry(route, max_wait_ms),
             fingerprint=fingerprint(
-                arrival.method,
-                arrival.get(b'host').lower(),
-                arrival.target,
+                head.method,
+                head.get(b'host').lower(),
+                head.target,
                 tenant.name if tenant else '',
                 body,
             ),
         )
 
     def _is_retry(self, route: Route, max_wait_ms: int) -> bool:
-        """Tell whether a caller has used up a part of its time already.
+        """Return True if a caller seems to have been refused before.
 
         Explanation
         -----------
-        Each try has an id of its own.  But callers of one kind of work are
-        about equally patient, and one that was turned away and comes back
-        says that it waits no longer than what is left.
+        Each try has its own request id.  But callers of one route wait for
+        about the same time, and a retry states only the time that is left.
         """
-        longest_ms = max(self._longest.get(route.name, 0), max_wait_ms)
-        self._longest[route.name] = longest_ms
-        return max_wait_ms < longest_ms * _REPEAT_PART
+        longest_ms = max(self._longest_wait_ms.get(route.name, 0), max_wait_ms)
+        self._longest_wait_ms[route.name] = longest_ms
+        return max_wait_ms < longest_ms * _RETRY_FRACTION
 
     def _check_quota(self, job: Job) -> None:
         tenant = job.tenant
@@ -317,7 +318,7 @@
         units = 1.0
         if tenant.counts_tokens:
             units = float(job.prompt.total or tenant.units_per_request)
-        # Where no tokens are named, little is asked: no reason to put it off.
+        # Requests that state no tokens are small and need no low priority.
         rank = job.route.priority if job.prompt.total else 0
         wait_ms = self._charge(
             tenant,
