--- a/seampond/permits/__init__.py
+++ b/seampond/permits/__init__.py
@@ -1,1 +1,1 @@
-"""Permits to send to a server that names a limit, one ledger for each life."""
+"""Permits to send requests to servers that report a rate limit."""
--- a/seampond/permits/manager.py
+++ b/seampond/permits/manager.py
@@ -1,4 +1,4 @@
-"""Who gives the permits for a server with a limit, and how we come by them."""
+"""Requests, grants and reservations of permits for servers with a limit."""
 
 import asyncio
 import itertools
@@ -16,67 +16,63 @@
 from seampond.permits.recent_reports import RecentReports, make_report
 from seampond.sharing.hashing import hash_name
 
-# A few round trips between halls.
-_REPLY_MS = 150
-# Leaves a caller that has come back time to ask other owners.
-_RETURN_REPLY_MS = 80
-# Before either, so that one lost datagram costs no permit.
-_RESEND_MS = 40
-# A caller that is turned away waits so long, for two owners at the most.
-_RESERVE_MS = 15
-# How long an owner that has no time left is not asked for another.
-_FULL_MS = 1000
-# By then gateways agree again who owns a limit.
-_ASK_AGAIN_MS = 300
-# How often all gateways together ask only to hear whether a limit holds on,
-# and how many of them do.
-_TRY_MS = 1000
-_TRIERS = 8
-_SPREAD = (0.5, 1.5)
-_NUMBER_BITS = 48
-
-
-def _count_nothing(outcome: str) -> None:
-    """Count no outcomes."""
+# Covers a few round trips between halls.
+_REPLY_TIMEOUT_MS = 150
+# Shorter, so that a retrying caller can still ask the owners of other servers.
+_RETRY_REPLY_TIMEOUT_MS = 80
+# Below both timeouts, so that one lost datagram costs no permit.
+_RESEND_AFTER_MS = 40
+# Delays the refusal of a caller.
+_RESERVE_TIMEOUT_MS = 15
+# Pause after an owner had no time left to reserve.
+_RESERVATIONS_FULL_MS = 1000
+# Pause in which gateways come to agree on the owner again.
+_RETRY_REQUEST_MS = 300
+# Interval of the probes for a stale limit, and how many gateways share them.
+_PROBE_INTERVAL_MS = 1000
+_PROBING_GATEWAYS = 8
+_PROBE_JITTER = (0.5, 1.5)
+_REQUEST_NUMBER_BITS = 48
+
+
+def _ignore_outcome(outcome: str) -> None:
+    """Ignore the outcome of a request."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """One that an owner has not answered yet."""
+    """A request that its owner has not answered yet."""
 
-    ask: PermitRequest
+    request: PermitRequest
     limit: ServerLimit
 
 
 class PermitManager:
-    """Gives permits where we own a limit, and asks the owner elsewhere.
+    """Grants permits for limits owned here and requests the others.
 
     Explanation
     -----------
-    The bound on a limit is one over all gateways, and may be less than one
-    request of each.  So one gateway keeps the only bucket of a server's life
-    and hands out what is in it: the one that comes first for that life by key
-    among those that are heard.  All work it out alike.  Where they do not for
-    a moment, each new owner begins at nothing.  While there are gateways that
-    are silent, and may be owners elsewhere, or that know nothing of permits,
-    the others give their part of the limit.
+    A limit applies to all gateways together and may be too small to divide
+    among them.  One gateway, the owner, therefore holds the only token bucket
+    of a server incarnation and grants its permits to the others.
 
     Parameters
     ----------
     apply_report : Callable[[int, float | None, int], ServerLimit | None]
-        Takes what another gateway knows of a limit, by the key of the life;
-        gives what holds, None for a server that is not known.
+        Applies another gateway's report of a limit, given the incarnation's
+        key, the rate and the time of the report.  Returns the limit in force,
+        None for an unknown server.
     request_heartbeat : Callable[[], None]
-        Called where the others should hear of us at once.
+        Called to send the next heartbeat without delay.
     count : Callable[[str], None]
-        Counts what became of asking for a permit.
+        Counts outcomes of permit requests.
 
     Attributes
     ----------
     send : Callable[[str, PermitRequest | PermitReply], None]
-        Sends to a gateway, by its name.
+        Sends a message to the named gateway.
     on_reply : Callable[[], None]
-        Called when an owner has answered.
+        Called after an owner's reply to a permit request.
 
     """
 
@@ -87,13 +83,13 @@
         apply_report: Callable[[int, float | None, int], ServerLimit | None],
         request_heartbeat: Callable[[], None],
         rng: random.Random,
-        count: Callable[[str], None] = _count_nothing,
+        count: Callable[[str], None] = _ignore_outcome,
     ) -> None:
-        """Start owning nothing."""
+        """Start without buckets and pending requests."""
         self.send: Callable[[str, PermitRequest | PermitReply], None] = (
-            _send_nothing
+            _drop_message
         )
-        self.on_reply: Callable[[], None] = _note_nothing
+        self.on_reply: Callable[[], None] = _ignore_reply
         self._gateways = gateways
         self._clock = clock
         self._apply_report = apply_report
@@ -102,13 +98,13 @@
         self._count = count
         self._owners = LimitOwners(gateways)
         self._issuer = PermitIssuer(self._owners, clock)
-        self._numbers = itertools.count(rng.getrandbits(_NUMBER_BITS))
+        self._numbers = itertools.count(rng.getrandbits(_REQUEST_NUMBER_BITS))
         self._recent = RecentReports(gateways, clock)
         self._pending: dict[int, _PendingRequest] = {}
         self._reservations: dict[int, asyncio.Future[int]] = {}
 
     def may_send(self, backend: Backend, *, for_retry: bool = False) -> bool:
-        """Whether a request may be sent to a server with a limit now."""
+        """Return True if a permit can be acquired now."""
         limit = backend.signals.limit
         if limit.has_permit(self._clock.now()):
             return True
@@ -120,7 +116,7 @@
     def acquire(
         self, backend: Backend, *, for_retry: bool = False
     ) -> Permit | None:
-        """Take up a permit to send now."""
+        """Remove and return a valid permit, None if there is none."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         permit = limit.acquire_permit(now_ms)
         key = hash_name(backend.server.incarnation)
@@ -132,7 +128,12 @@
     def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool = False
     ) -> None:
-        """Ask for a permit that holds after so long at the latest."""
+        """Request a permit that becomes valid within `max_wait_ms`.
+
+        Explanation
+        -----------
+        If this gateway owns the limit, the permit is added to it at once.
+        """
         limit, now_ms = backend.signals.limit, self._clock.now()
         key = hash_name(backend.server.incarnation)
         limit.discard_expired(now_ms)
@@ -144,28 +145,28 @@
                 self._count('own')
                 limit.add_permit(now_ms, now_ms, wait_ms)
             return
-        reply_ms = _RETURN_REPLY_MS if for_retry else _REPLY_MS
+        timeout_ms = _RETRY_REPLY_TIMEOUT_MS if for_retry else _REPLY_TIMEOUT_MS
         limit.requested_ms = now_ms
-        limit.resend_at_ms = now_ms + _RESEND_MS
-        limit.reply_due_ms = now_ms + reply_ms
+        limit.resend_at_ms = now_ms + _RESEND_AFTER_MS
+        limit.reply_due_ms = now_ms + timeout_ms
         limit.is_for_retry = for_retry
         limit.request_number = next(self._numbers)
-        ask = replace(
-            self._make_ask(key, limit, limit.request_number),
+        request = replace(
+            self._make_request(key, limit, limit.request_number),
             max_wait_ms=max_wait_ms,
             for_retry=for_retry,
         )
-        self._pending[limit.request_number] = _PendingRequest(ask, limit)
-        self._send_ask(ask)
+        self._pending[limit.request_number] = _PendingRequest(request, limit)
+        self._send_request(request)
 
     async def reserve(self, backend: Backend) -> int | None:
-        """Have a permit kept for a caller that is told to come back.
+        """Reserve a permit for a caller's retry.
 
         Returns
         -------
         int or None
-            After how many milliseconds, None where the owner does not answer
-            in time.
+            The milliseconds until the retry, None if the owner reserves
+            nothing or does not reply in time.
 
         """
         limit, key = (
@@ -175,14 +176,16 @@
         if self._owners.is_local(key):
             wait_ms = self._issuer.reserve(key, limit)
         else:
-            wait_ms = await self._ask_to_reserve(key, limit)
+            wait_ms = await self._request_reservation(key, limit)
         self._count('reserved' if wait_ms else 'not-reserved')
         if wait_ms == MAX_RETRY_AFTER_MS:
-            limit.reservations_full_until_ms = self._clock.now() + _FULL_MS
+            limit.reservations_full_until_ms = (
+                self._clock.now() + _RESERVATIONS_FULL_MS
+            )
         return wait_ms or None
 
     def available_ms(self, backend: Backend, *, for_retry: bool = False) -> int:
-        """Give the time before which there is no other permit for us."""
+        """Return the time before which no further permit is expected."""
         limit, now_ms = backend.signals.limit, self._clock.now()
         key = hash_name(backend.server.incarnation)
         if self._owners.is_local(key):
@@ -191,79 +194,85 @@
         return limit.retry_available_ms if for_retry else limit.available_ms
 
     def probe_limit(self, backend: Backend) -> None:
-        """Ask now and then, for a request that tells if the limit holds on.
+        """Request a permit from time to time to keep a report up to date.
 
         Explanation
         -----------
-        The owner may have no requests for that server.  Asked for by each of
-        many gateways, its permits would cost more words than they are worth.
+        Only a response of the server shows whether its limit still applies,
+        and the owner may have no requests to send.  The interval grows with
+        the number of gateways, to bound their messages.
         """
         limit, now_ms = backend.signals.limit, self._clock.now()
         self._check_pending(limit, now_ms)
         is_due = limit.is_stale(now_ms) and now_ms >= limit.next_probe_ms
         if not is_due or limit.requested_ms is not None:
             return
-        spread = max(1, self._gateways.count / _TRIERS)
-        pause_ms = _TRY_MS * spread * self._rng.uniform(*_SPREAD)
-        # Where all hear at once that a limit is old, not all should ask.
+        backoff = max(1, self._gateways.count / _PROBING_GATEWAYS)
+        pause_ms = (
+            _PROBE_INTERVAL_MS * backoff * self._rng.uniform(*_PROBE_JITTER)
+        )
+        # In a large fleet the first probe waits, since a limit becomes stale
+        # at all gateways at once.
         is_first = not limit.next_probe_ms
         limit.next_probe_ms = now_ms + round(pause_ms)
-        if is_first and spread > 1:
+        if is_first and backoff > 1:
             return
         self.request(backend, 0)
 
-    def handle_request(self, ask: PermitRequest) -> None:
-        """Answer a gateway that asks for a permit."""
+    def handle_request(self, request: PermitRequest) -> None:
+        """Reply to another gateway's request."""
         now_ms = self._clock.now()
         limit = self._apply_report(
-            ask.incarnation, ask.report.rate, now_ms - ask.report.age_ms
+            request.incarnation,
+            request.report.rate,
+            now_ms - request.report.age_ms,
         )
-        rate = ask.report.rate if limit is None else limit.rate
-        report = ask.report if limit is None else make_report(limit, now_ms)
+        rate = request.report.rate if limit is None else limit.rate
+        report = request.report if limit is None else make_report(limit, now_ms)
         reply = PermitReply(
             self._gateways.name,
-            ask.incarnation,
-            ask.number,
+            request.incarnation,
+            request.number,
             report,
             is_granted=False,
-            wait_ms=0 if rate is None else _ASK_AGAIN_MS,
+            wait_ms=0 if rate is None else _RETRY_REQUEST_MS,
         )
-        if rate is not None and self._owners.is_local(ask.incarnation):
-            reply = self._issuer.answer(ask, reply, rate)
-        self.send(ask.name, reply)
+        if rate is not None and self._owners.is_local(request.incarnation):
+            reply = self._issuer.answer(request, reply, rate)
+        self.send(request.name, reply)
 
     def handle_reply(self, reply: PermitReply) -> None:
-        """Take an owner's answer."""
-        reserving = self._reservations.pop(reply.number, None)
-        question = self._pending.pop(reply.number, None)
-        if reserving is None and question is None:
+        """Apply an owner's reply; ignore one that is no longer awaited."""
+        reservation = self._reservations.pop(reply.number, None)
+        pending = self._pending.pop(reply.number, None)
+        if reservation is None and pending is None:
             return
         self._apply_report(
             reply.incarnation,
             reply.report.rate,
             self._clock.now() - reply.report.age_ms,
         )
-        if reserving is not None and not reserving.done():
-            reserving.set_result(reply.retry_after_ms)
-        if question is not None:
-            self._take_answer(question.limit, reply)
+        if reservation is not None and not reservation.done():
+            reservation.set_result(reply.retry_after_ms)
+        if pending is not None:
+            self._apply_reply(pending.limit, reply)
             self.on_reply()
 
     def record_report(
         self, key: int, limit: ServerLimit, *, has_changed: bool
     ) -> None:
-        """Note that an answer to us has spoken of a limit."""
-        self._recent.note(key, limit, has_changed=has_changed)
+        """Record that a response to this gateway reported a limit."""
+        self._recent.record(key, limit, has_changed=has_changed)
         self._open_bucket(key, limit)
         if has_changed:
             self._request_heartbeat()
 
     def collect_reports(self) -> Mapping[int, LimitReport]:
-        """Give what answers to us have said of late, by key of the life."""
-        return self._recent.collect_reports()
+        """Return recent reports by incarnation key, for the heartbeat."""
+        return self._recent.collect()
 
     def apply_reports(self, reports: Mapping[int, LimitReport]) -> None:
-        """Take what another gateway has heard."""
+        """Apply the reports in another gateway's heartbeat."""
         now_ms = self._clock.now()
         for key, report in reports.items():
             limit = self._apply_report(key, report.rate, now_ms - report.age_ms)
@@ -271,17 +280,17 @@
                 self._open_bucket(key, limit)
 
     def expire(self) -> None:
-        """Forget what others own now, and asks that nobody has answered."""
+        """Drop buckets owned elsewhere; resend or time out pending requests."""
         self._issuer.expire()
         now_ms = self._clock.now()
-        for question in list(self._pending.values()):
-            self._check_pending(question.limit, now_ms)
+        for pending in list(self._pending.values()):
+            self._check_pending(pending.limit, now_ms)
 
     def _open_bucket(self, key: int, limit: ServerLimit) -> None:
         if limit.is_set and self._owners.is_local(key):
             self._issuer.open_bucket(key, limit)
 
-    def _make_ask(
+    def _make_request(
         self, key: int, limit: ServerLimit, number: int
     ) -> PermitRequest:
         report = make_report(limit, self._clock.now())
@@ -289,27 +298,29 @@
             self._gateways.name, key, number, report, max_wait_ms=0
         )
 
-    def _send_ask(self, ask: PermitRequest) -> None:
-        self.send(self._owners.find(ask.incarnation), ask)
+    def _send_request(self, request: PermitRequest) -> None:
+        self.send(self._owners.find_owner(request.incarnation), request)
 
-    async def _ask_to_reserve(self, key: int, limit: ServerLimit) -> int:
-        """Ask the owner; give 0 where it does not answer in time."""
+    async def _request_reservation(self, key: int, limit: ServerLimit) -> int:
+        """Return the ms until the retry, 0 without a reply in time."""
         number = next(self._numbers)
-        reserving: asyncio.Future[int] = (
+        reservation: asyncio.Future[int] = (
             asyncio.get_running_loop().create_future()
         )
-        self._reservations[number] = reserving
-        ask = replace(self._make_ask(key, limit, number), is_reservation=True)
+        self._reservations[number] = reservation
+        request = replace(
+            self._make_request(key, limit, number), is_reservation=True
+        )
         try:
-            async with asyncio.timeout(_RESERVE_MS / MS_PER_SECOND):
-                self._send_ask(ask)
-                return await reserving
+            async with asyncio.timeout(_RESERVE_TIMEOUT_MS / MS_PER_SECOND):
+                self._send_request(request)
+                return await reservation
         except TimeoutError:
             return 0
         finally:
             self._reservations.pop(number, None)
 
-    def _take_answer(self, limit: ServerLimit, reply: PermitReply) -> None:
+    def _apply_reply(self, limit: ServerLimit, reply: PermitReply) -> None:
         if limit.request_number != reply.number or limit.requested_ms is None:
             return
         self._count('given' if reply.is_granted else 'refused')
@@ -321,25 +332,25 @@
         limit.requested_ms = None
 
     def _check_pending(self, limit: ServerLimit, now_ms: int) -> None:
-        """Ask an owner again that has not answered, then wait no longer."""
+        """Resend or time out the pending request of a limit if it is due."""
         if limit.requested_ms is None:
             return
         if now_ms >= limit.reply_due_ms:
             self._count('lost')
             self._pending.pop(limit.request_number, None)
             limit.requested_ms = None
-            limit.record_refusal(now_ms + _ASK_AGAIN_MS)
+            limit.record_refusal(now_ms + _RETRY_REQUEST_MS)
         elif now_ms >= limit.resend_at_ms:
             limit.resend_at_ms = limit.reply_due_ms
-            ask = self._pending[limit.request_number].ask
+            request = self._pending[limit.request_number].request
             waited_ms = now_ms - limit.requested_ms
-            max_wait_ms = max(0, ask.max_wait_ms - waited_ms)
-            self._send_ask(replace(ask, max_wait_ms=max_wait_ms))
+            max_wait_ms = max(0, request.max_wait_ms - waited_ms)
+            self._send_request(replace(request, max_wait_ms=max_wait_ms))
 
 
-def _send_nothing(name: str, message: PermitRequest | PermitReply) -> None:
-    """Send nothing."""
+def _drop_message(name: str, message: PermitRequest | PermitReply) -> None:
+    """Drop a message while no transport is connected."""
 
 
-def _note_nothing() -> None:
-    """Note nothing."""
+def _ignore_reply() -> None:
+    """Ignore replies by default."""
--- a/seampond/permits/messages.py
+++ b/seampond/permits/messages.py
@@ -1,4 +1,4 @@
-"""How gateways ask each other for permits, to bytes and back."""
+"""Encoding of the messages by which gateways request and grant permits."""
 
 import functools
 import math
@@ -10,24 +10,24 @@
 
 from seampond.errors import ForeignMessageError
 
-# No heartbeat begins so; a gateway of an earlier build drops what does.
-_START = b'PMT1'
+# Tells permit messages from heartbeats; older releases drop them as invalid.
+_PREFIX = b'PMT1'
 _SCHEMA_FILE = 'permits.capnp'
 _NO_RATE = -1.0
 _MAX_UINT32 = 4_294_967_295
-_FAILURES = (capnp.KjException, ValueError, AttributeError)
+_DECODE_ERRORS = (capnp.KjException, ValueError, AttributeError)
 
 
 @dataclass(frozen=True, slots=True)
 class LimitReport:
-    """What a gateway knows of a limit.
+    """What a gateway knows of a server's limit.
 
     Parameters
     ----------
     rate : float or None
-        The requests a second that the server takes, None for no limit.
+        Requests per second that the server accepts, None without a limit.
     age_ms : int
-        How long ago the request was sent whose answer said so.
+        Time since the request was sent whose response reported the limit.
 
     """
 
@@ -37,22 +37,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """One gateway asks the owner of a limit for a permit.
+    """Request to the owner of a limit for a permit or a reservation.
 
     Parameters
     ----------
     name : str
-        Who asks.
+        Name of the requesting gateway.
     incarnation : int
-        The key of the server's life.
+        Key of the server incarnation.
     number : int
-        Tells this from other asks.
+        Number of the request, unique for the sender.
     max_wait_ms : int
-        After how long the permit has to hold at the latest.
+        Longest acceptable time until the permit becomes valid.
     for_retry : bool
-        Whether it is for a caller that was told to come back now.
+        Whether the permit is for a caller's retry after a refusal.
     is_reservation : bool
-        Whether a time to come back is wanted, and no permit.
+        Whether a permit is to be reserved for a later retry.
 
     """
 
@@ -67,16 +67,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitReply:
-    """The owner's answer.
+    """Reply of the owner of a limit.
 
     Parameters
     ----------
     wait_ms : int
-        After how long the permit holds; where none is given, after how long
-        there may be one.
+        Time until the permit becomes valid; for a refusal, until one may be
+        available.
     retry_after_ms : int
-        After how long a permit is kept for a caller that comes back; 0 for
-        none, which is all that an earlier build says.
+        Time until the reserved permit, 0 for none; older releases always
+        send 0.
 
     """
 
@@ -95,17 +95,17 @@
 
 
 def is_permit_message(packet: bytes) -> bool:
-    """Whether a datagram is about permits."""
-    return packet.startswith(_START)
+    """Return True if a datagram is a permit message."""
+    return packet.startswith(_PREFIX)
 
 
 def encode_permit(message: PermitRequest | PermitReply) -> bytes:
-    """Encode one datagram.
+    """Return the datagram of a message.
 
     Examples
     --------
-    >>> ask = PermitRequest('g1', 7, 3, LimitReport(1.5, 20), 200)
-    >>> decode_permit(encode_permit(ask)) == ask
+    >>> request = PermitRequest('g1', 7, 3, LimitReport(1.5, 20), 200)
+    >>> decode_permit(encode_permit(request)) == request
     True
 
     """
@@ -129,16 +129,16 @@
             'returnMs': message.retry_after_ms,
         }
     packed: bytes = _schema().Message.new_message(**fields).to_bytes_packed()
-    return _START + packed
+    return _PREFIX + packed
 
 
 def _read(reader: Any) -> PermitRequest | PermitReply:
     report = LimitReport(decode_rate(reader.rate), reader.saidAgoMs)
     common = (reader.name, reader.life, reader.number, report)
     if reader.which() == 'ask':
-        ask = reader.ask
+        request = reader.ask
         return PermitRequest(
-            *common, ask.patienceMs, ask.forReturn, ask.reserves
+            *common, request.patienceMs, request.forReturn, request.reserves
         )
     reply = reader.reply
     return PermitReply(*common, reply.isGiven, reply.waitMs, reply.returnMs)
@@ -147,29 +147,33 @@
 def decode_permit(
     packet: bytes, *, peer: str = ''
 ) -> PermitRequest | PermitReply:
-    """Decode one datagram.
+    """Return the message of a datagram.
 
     Raises
     ------
     ForeignMessageError
-        If the bytes are no such message.
+        If the datagram is not a valid permit message.
 
     """
     try:
-        return _read(_schema().Message.from_bytes_packed(packet[len(_START) :]))
-    except _FAILURES as error:
+        return _read(
+            _schema().Message.from_bytes_packed(packet[len(_PREFIX) :])
+        )
+    except _DECODE_ERRORS as error:
         raise ForeignMessageError(
-            f'no permit: {type(error).__name__}', step='decode', peer=peer
+            f'invalid permit message: {type(error).__name__}',
+            step='decode',
+            peer=peer,
         ) from error
 
 
 def encode_rate(rate: float | None) -> float:
-    """Give the number that tells a rate, or that there is none."""
+    """Return the encoding of a rate, a negative number for no limit."""
     return _NO_RATE if rate is None else rate
 
 
-def decode_rate(told: float) -> float | None:
-    """Give the rate that a number tells, None for no limit.
+def decode_rate(encoded: float) -> float | None:
+    """Return the rate that a number encodes, None for no limit.
 
     Examples
     --------
@@ -177,4 +181,4 @@
     (0.5, None, None)
 
     """
-    return told if math.isfinite(told) and told >= 0 else None
+    return encoded if math.isfinite(encoded) and encoded >= 0 else None
--- a/seampond/permits/owners.py
+++ b/seampond/permits/owners.py
@@ -1,21 +1,21 @@
-"""Which gateway owns the limit of a server's life."""
+"""The gateway that owns the limit of a server incarnation."""
 
 from typing import Protocol
 
 from seampond.sharing.hashing import hash_name
 
-# Of a server that takes nothing, somebody has to hear when that is over.
-_LEAST_RATE = 0.25
+# Even at a limit of 0 some requests are sent, to notice when it is lifted.
+_MIN_RATE_PER_S = 0.25
 
 
 class GatewayDirectory(Protocol):
-    """The gateways that share the limits."""
+    """The gateways that share the limits of servers."""
 
     name: str
 
     @property
     def permit_issuers(self) -> tuple[str, ...]:
-        """The others that give permits."""
+        """Names of the other gateways that issue permits."""
 
     @property
     def has_gateway_list(self) -> bool:
@@ -23,57 +23,57 @@
 
     @property
     def count(self) -> int:
-        """How many gateways there may be."""
+        """Number of gateways that may be running."""
 
     @property
     def heartbeat_interval_ms(self) -> int:
-        """How long after one heartbeat the next is due."""
+        """Interval of heartbeats."""
 
 
 class LimitOwners:
-    """The owner of each life: the first by key among those that are heard.
+    """Assigns the owner of each limit by rendezvous hashing.
 
     Explanation
     -----------
-    All gateways work it out alike, without a message.  One that is about to
-    stop is an owner too: where all do so at once, each would take the limits
-    for its own.
+    Gateways agree on owners without messages as long as they know the same
+    live gateways.  A gateway that is about to stop stays an owner: if all
+    stop at once, each of them would otherwise own every limit.
     """
 
     def __init__(self, gateways: GatewayDirectory) -> None:
-        """Start without having worked out any."""
+        """Start with an empty cache."""
         self._gateways = gateways
         self._owners: dict[int, str] = {}
-        self._owned_among: tuple[str, ...] = ()
+        self._candidates: tuple[str, ...] = ()
 
     def is_local(self, key: int) -> bool:
-        """Whether we own the limit of a life."""
-        return self.find(key) == self._gateways.name
+        """Return True if this gateway owns the limit."""
+        return self.find_owner(key) == self._gateways.name
 
-    def find(self, key: int) -> str:
-        """Give the owner's name, an empty one while the list is not known."""
+    def find_owner(self, key: int) -> str:
+        """Return the owner's name, empty until the gateways are known."""
         if not self._gateways.has_gateway_list:
-            # We may be one of many.
             return ''
-        among = (*self._gateways.permit_issuers, self._gateways.name)
-        if among != self._owned_among:
+        candidates = (*self._gateways.permit_issuers, self._gateways.name)
+        if candidates != self._candidates:
             self._owners.clear()
-            self._owned_among = among
+            self._candidates = candidates
         owner = self._owners.get(key)
         if owner is None:
-            owner = max(among, key=lambda name: hash_name(f'{name} {key}'))
+            owner = max(candidates, key=lambda name: hash_name(f'{name} {key}'))
             self._owners[key] = owner
         return owner
 
-    def share(self, rate: float | None) -> float:
-        """Give the permits a second that an owner may give of a limit.
+    def owned_rate(self, rate: float | None) -> float:
+        """Return the permits per second that the owner of a limit may grant.
 
         Explanation
         -----------
-        Gateways that are silent, or know nothing of permits, may be sending.
+        Part of the limit is left to gateways that do not issue permits or are
+        silent, since they may be sending too.
         """
-        least = max(_LEAST_RATE, rate or 0)
-        permit_issuers = len(self._gateways.permit_issuers) + 1
+        total_rate = max(_MIN_RATE_PER_S, rate or 0)
+        issuer_count = len(self._gateways.permit_issuers) + 1
         return (
-            least * permit_issuers / max(permit_issuers, self._gateways.count)
+            total_rate * issuer_count / max(issuer_count, self._gateways.count)
         )
--- a/seampond/permits/permits.capnp
+++ b/seampond/permits/permits.capnp
@@ -1,6 +1,6 @@
 @0xb6d0a7f1c2943e58;
-# How gateways ask each other for permits to send to servers with a limit, one
-# datagram each.  A rate below zero says that there is no limit.
+# Messages by which gateways request and grant permits for servers with a rate
+# limit, one per datagram.  A negative rate stands for no limit.
 
 struct Message {
   name @0 :Text;
