--- a/seampond/forwarding/tests/test_connection.py
+++ b/seampond/forwarding/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: answers whole, short, late, crossed."""
+"""Connection: complete, truncated, late and mismatched answers."""
 
 import asyncio
 import unittest
@@ -21,98 +21,98 @@
 
 async def _read(connection: Connection) -> tuple[int, bytes]:
     head = await connection.read_head()
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     while True:
-        part = await connection.read_chunk()
-        if part is None:
-            return head.status, b''.join(parts)
-        parts.append(part)
+        chunk = await connection.read_chunk()
+        if chunk is None:
+            return head.status, b''.join(chunks)
+        chunks.append(chunk)
 
 
-class ExchangeTest(unittest.IsolatedAsyncioTestCase):
-    """What an answer must be to count."""
+class ConnectionTest(unittest.IsolatedAsyncioTestCase):
+    """Checks on received answers."""
 
-    async def test_whole_answer_keeps_the_connection(self) -> None:
-        """An answer with its length."""
+    async def test_complete_answer_keeps_the_connection(self) -> None:
+        """An answer with a length leaves the connection reusable."""
         answer = write_answer(200, _IDS, b'hello')
         self.assertEqual(await self._ask(answer), (200, b'hello', True))
 
     async def test_chunked_answer(self) -> None:
-        """An answer in chunks, with its end."""
+        """The chunks are joined up to the last one."""
         answer = write_chunks(_IDS, b'one', b'two', b'')
         self.assertEqual(await self._ask(answer), (200, b'onetwo', True))
 
-    async def test_interim_answer_is_passed_over(self) -> None:
-        """A 100 is no answer."""
+    async def test_interim_answer_is_skipped(self) -> None:
+        """A 100 is not taken for the answer."""
         interim = b'HTTP/1.1 100 Continue\r\n\r\n'
         answer = write_answer(200, _IDS, b'hello')
         status, body, _ = await self._ask(interim, answer)
         self.assertEqual((status, body), (200, b'hello'))
 
     async def test_short_answer_fails(self) -> None:
-        """A body shorter than its length never looks whole."""
+        """A body shorter than its length is an error."""
         answer = write_answer(200, _IDS, b'hel', length=5)
         with self.assertRaises(ExchangeError) as caught:
             await self._ask(answer, reset=True)
         self.assertTrue(caught.exception.was_sent)
 
     async def test_chunks_without_their_end_fail(self) -> None:
-        """A chunked body without its end never looks whole."""
+        """A chunked body without its last chunk is an error."""
         with self.assertRaises(ExchangeError):
             await self._ask(write_chunks(_IDS, b'one'), reset=True)
 
     async def test_unframed_answer_ends_with_the_connection(self) -> None:
-        """An answer without a length, ended cleanly."""
+        """The end of the connection completes an answer without length."""
         answer = f'HTTP/1.1 200 EOF\r\n{ID_HEADER}: r1\r\n\r\nhello'.encode()
         self.assertEqual(await self._ask(answer), (200, b'hello', False))
 
     async def test_unframed_answer_that_is_reset_fails(self) -> None:
-        """An answer without a length, reset on the way."""
+        """A reset does not complete an answer without a length."""
         answer = f'HTTP/1.1 200 EOF\r\n{ID_HEADER}: r1\r\n\r\nhello'.encode()
         with self.assertRaises(ExchangeError):
             await self._ask(answer, reset=True)
 
     async def test_answer_of_another_request_is_skipped(self) -> None:
-        """A late answer before ours; the connection is not used again."""
+        """A late answer makes the connection unusable for later requests."""
         late = write_answer(200, {ID_HEADER: 'r0'}, b'not yours')
-        ours = write_answer(200, _IDS, b'yours')
-        self.assertEqual(await self._ask(late, ours), (200, b'yours', False))
+        own = write_answer(200, _IDS, b'yours')
+        self.assertEqual(await self._ask(late, own), (200, b'yours', False))
 
     async def test_surplus_answer_ends_the_connection(self) -> None:
-        """Bytes after a whole answer belong to nobody."""
-        ours = write_answer(200, _IDS, b'yours')
-        both = ours + write_answer(200, _IDS, b'again')
+        """A second answer makes the connection unusable."""
+        own = write_answer(200, _IDS, b'yours')
+        both = own + write_answer(200, _IDS, b'again')
         self.assertEqual(await self._ask(both), (200, b'yours', False))
 
     async def test_answer_without_an_id_fails(self) -> None:
-        """An answer that names no request is nobody's."""
+        """An answer without a request id cannot be matched."""
         with self.assertRaises(ExchangeError):
             await self._ask(write_answer(200, {}, b'whose'))
 
-    async def test_bytes_that_form_no_answer_fail(self) -> None:
-        """Garbage is an error, not silence."""
+    async def test_invalid_http_fails(self) -> None:
+        """Invalid bytes are reported as an error at once."""
         with self.assertRaises(ExchangeError):
             await self._ask(b'\x00\x01garbage\r\n\r\n')
 
-    async def test_no_answer_was_sent_all_the_same(self) -> None:
-        """A closed connection says nothing about the run."""
+    async def test_missing_answer_counts_as_sent(self) -> None:
+        """The request may have run although no answer arrived."""
         with self.assertRaises(ExchangeError) as caught:
             await self._ask()
         self.assertTrue(caught.exception.was_sent)
 
     async def test_refused_connection_was_not_sent(self) -> None:
-        """Only a failed connect proves that nothing was sent."""
+        """A failed connect proves that nothing was sent."""
         with self.assertRaises(ExchangeError) as caught:
             await open_connection('127.0.0.1:9', Clock(), b'x', 500)
         self.assertFalse(caught.exception.was_sent)
 
-    async def test_closing_answer_is_not_kept(self) -> None:
-        """`Connection: close` is heeded."""
+    async def test_connection_close_is_honoured(self) -> None:
+        """A connection is not reused after `Connection: close`."""
         answer = write_answer(200, {**_IDS, 'Connection': 'close'}, b'hello')
         self.assertEqual(await self._ask(answer), (200, b'hello', False))
 
-    async def test_surplus_on_an_idle_connection_ends_it(self) -> None:
-        """An answer that nobody waits for is not the next one's."""
+    async def test_unexpected_bytes_close_an_idle_connection(self) -> None:
+        """An unexpected answer must not be matched to the next request."""
 
         async def handle(
             request: Received, writer: asyncio.StreamWriter
@@ -133,8 +133,8 @@
                 await asyncio.sleep(0.01)
             connection.close()
 
-    async def test_early_answer_with_the_body_due_is_not_kept(self) -> None:
-        """What is left of a body would be read as the next request."""
+    async def test_early_answer_closes_the_connection(self) -> None:
+        """The unsent rest of a body would be read as the next request."""
 
         async def handle(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -160,7 +160,7 @@
     async def _ask(
         self, *answers: bytes, reset: bool = False
     ) -> tuple[int, bytes, bool]:
-        """Send one request; give the answer and whether it may be reused."""
+        """Return the answer and whether the connection is reusable."""
 
         async def handle(
             request: Received, writer: asyncio.StreamWriter
@@ -180,7 +180,7 @@
             connection.send(b'r1', b'GET /x HTTP/1.1\r\nHost: a\r\n\r\n')
             try:
                 status, body = await _read(connection)
-                is_kept = connection.finish(1000)
+                is_reusable = connection.finish(1000)
             finally:
                 connection.close()
-        return status, body, is_kept
+        return status, body, is_reusable
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Servers tried in turn: what may be sent again, and the final answer."""
+"""Forwarder: retries, resumed streams, promises and final answers."""
 
 import asyncio
 import unittest
@@ -69,7 +69,9 @@
     writer.write(write_answer(503, headers))
 
 
-async def _deny_to_be(request: Received, writer: asyncio.StreamWriter) -> None:
+async def _answer_misdirected(
+    request: Received, writer: asyncio.StreamWriter
+) -> None:
     writer.write(write_answer(421, {ID_HEADER: request.get(ID_HEADER)}))
 
 
@@ -77,8 +79,10 @@
     writer.write(write_answer(500, _headers(request), b'own failure'))
 
 
-async def _say_nothing(request: Received, writer: asyncio.StreamWriter) -> None:
-    """Take the request, give no answer."""
+async def _accept_silently(
+    request: Received, writer: asyncio.StreamWriter
+) -> None:
+    """Accept the request without answering."""
 
 
 async def _break_stream(
@@ -96,101 +100,101 @@
 
 
 class ForwarderTest(unittest.IsolatedAsyncioTestCase):
-    """One gateway before servers that answer step by step."""
+    """A forwarder with scripted servers."""
 
     @property
     def sends(self) -> int:
         return sum(len(server.received) for server in self.servers)
 
     async def asyncSetUp(self) -> None:
-        """Open what each test opens."""
+        """Set up the stack of scripted servers."""
         self._stack = AsyncExitStack()
         self.addAsyncCleanup(self._stack.aclose)
         self.servers: list[ScriptedServer] = []
 
     async def test_whole_answer(self) -> None:
-        """Status, headers and body as the server gave them."""
+        """The status and body of the server are relayed."""
         _, sink = await self._forward(_serve)
         self.assertEqual(sink.head.status, 200)
         self.assertEqual(sink.body, b'whole')
         self.assertTrue(sink.is_whole)
 
-    async def test_repeatable_work_goes_to_another_server(self) -> None:
-        """After a reset, once more."""
+    async def test_idempotent_request_is_retried_elsewhere(self) -> None:
+        """A lost connection does not fail an idempotent request."""
         progress, sink = await self._forward(_reset, _serve)
         self.assertEqual(sink.body, b'whole')
         self.assertEqual(len(progress.tried_servers), 2)
 
-    async def test_work_in_doubt_is_not_sent_again(self) -> None:
-        """A reset says nothing: 502, no promise, one send."""
+    async def test_request_that_may_have_run_is_not_retried(self) -> None:
+        """A lost connection gives 502 after a single attempt."""
         with self.assertRaises(Refusal) as caught:
             await self._forward(_reset, _serve, route=_ONCE)
         self.assertEqual(caught.exception.status, 502)
         self.assertEqual(self.sends, 1)
 
-    async def test_rejected_work_may_be_sent_again(self) -> None:
-        """The server's word is proof."""
+    async def test_rejected_request_is_retried(self) -> None:
+        """A rejection proves that the request did not run."""
         _, sink = await self._forward(_reject, _serve, route=_ONCE)
         self.assertEqual(sink.body, b'whole')
 
-    async def test_replaced_server_is_left_alone(self) -> None:
-        """Who answers that it is another server gets nothing for a while."""
-        _, sink = await self._forward(_deny_to_be, _serve, route=_ONCE)
+    async def test_replaced_server_is_paused(self) -> None:
+        """A 421 means that another server has taken over the address."""
+        _, sink = await self._forward(_answer_misdirected, _serve, route=_ONCE)
         self.assertEqual(sink.body, b'whole')
         now_ms = Clock().now()
         usable = [one for one in self.backends if one.is_usable(now_ms + 2000)]
         self.assertEqual(len(usable), len(self.servers) - 1)
         self.assertTrue(all(one.is_usable(now_ms + 9000) for one in usable))
 
-    async def test_rejected_by_all_is_not_run(self) -> None:
-        """503 with the time to come back."""
+    async def test_rejection_by_all_servers_means_not_run(self) -> None:
+        """The refusal is a 503 with a retry time."""
         with self.assertRaises(Refusal) as caught:
             await self._forward(_reject, _reject, route=_ONCE)
         self.assertEqual(caught.exception.status, 503)
         self.assertGreater(caught.exception.retry_after_ms, 0)
         self.assertEqual(self.sends, 2)
 
-    async def test_doubt_before_a_rejection_stays_a_doubt(self) -> None:
-        """One send in doubt and one rejected: never "not run"."""
+    async def test_rejection_after_lost_connection_is_in_doubt(self) -> None:
+        """The first attempt may have run despite the rejection."""
         with self.assertRaises(Refusal) as caught:
             await self._forward(_reset, _reject)
         self.assertEqual(caught.exception.cause, Cause.in_doubt)
 
     async def test_attempts_are_bounded(self) -> None:
-        """No more servers than the route allows."""
+        """No more attempts are made than the route allows."""
         with self.assertRaises(Refusal):
             await self._forward(_reset, _reset, _serve)
         self.assertEqual(self.sends, 2)
 
-    async def test_failure_of_a_server_is_passed_on(self) -> None:
-        """Its status, stamp and body, once nothing better came."""
+    async def test_error_answer_of_a_server_is_relayed(self) -> None:
+        """The last error answer is sent if all attempts fail."""
         _, sink = await self._forward(_fail, _fail)
         self.assertEqual(sink.head.status, 500)
         self.assertTrue(sink.head.has(STAMP_HEADER.encode()))
         self.assertEqual(sink.body, b'own failure')
 
-    async def test_failure_of_work_that_may_not_repeat(self) -> None:
-        """One send; the server's own answer."""
+    async def test_error_answer_is_not_retried_if_not_idempotent(self) -> None:
+        """The error answer is relayed after a single attempt."""
         _, sink = await self._forward(_fail, _serve, route=_ONCE)
         self.assertEqual(sink.head.status, 500)
         self.assertEqual(self.sends, 1)
 
     async def test_broken_stream_resumes_at_a_whole_event(self) -> None:
-        """Nothing twice, nothing missing, one head."""
+        """No event is lost or repeated in the joined stream."""
         _, sink = await self._forward(_break_stream, _end_stream, route=_STREAM)
         self.assertEqual(
             sink.body,
             b'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n',
         )
         self.assertTrue(sink.is_whole)
-        asked_of = [
-            known for server in self.servers for known in server.received
+        received = [
+            request for server in self.servers for request in server.received
         ]
-        asked = sorted(known.get('last-event-id') for known in asked_of)
-        self.assertEqual(asked, ['', '2'])
+        last_ids = sorted(request.get('last-event-id') for request in received)
+        self.assertEqual(last_ids, ['', '2'])
 
-    async def test_broken_stream_that_may_not_resume_is_cut(self) -> None:
-        """An answer that was cut never looks whole."""
+    async def test_broken_stream_without_resumption_is_aborted(self) -> None:
+        """The caller must not take a broken stream for a complete one."""
         route = build_route(kind=RequestKind.stream, attempts=2)
         with self.assertRaises(AbortedResponseError):
             await self._forward(_break_stream, _end_stream, route=route)
@@ -198,15 +202,15 @@
         self.assertEqual(self.sends, 1)
 
     async def test_timeout_after_a_send(self) -> None:
-        """504: it may have run."""
+        """A time-out after a send is a 504: the request may have run."""
         route = build_route(kind=RequestKind.once, timeout_ms=150)
         with self.assertRaises(Refusal) as caught:
-            await self._forward(_say_nothing, route=route)
+            await self._forward(_accept_silently, route=route)
         self.assertEqual(caught.exception.status, 504)
 
-    async def test_leave_of_the_caller_cancels_at_the_server(self) -> None:
-        """The server sees its connection end; nothing is sent again."""
-        task = asyncio.create_task(self._forward(_say_nothing, _serve))
+    async def test_disconnected_caller_cancels_the_attempt(self) -> None:
+        """The server connection is closed and nothing is retried."""
+        task = asyncio.create_task(self._forward(_accept_silently, _serve))
         await until_true(lambda: self.sends == 1)
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
@@ -215,15 +219,15 @@
         self.assertEqual(self.sends, 1)
 
     async def test_promises_stop_a_second_dispatch(self) -> None:
-        """What may have run is not sent again, whoever asks for it."""
+        """Promises stop a forbidden send that other checks missed."""
         with self.assertRaisesRegex(PromiseError, 'single-dispatch'):
             await self._forward(_serve, route=_ONCE, may_have_run=True)
         with self.assertRaisesRegex(PromiseError, 'bounded-attempts'):
             await self._forward(_serve, attempts=2)
         self.assertEqual(self.sends, 0)
 
-    async def test_server_that_leaves_meanwhile_gets_nothing(self) -> None:
-        """The list may tell of a leave while we connect."""
+    async def test_server_that_starts_draining_gets_nothing(self) -> None:
+        """The server starts to drain while a connection is opened."""
         server = build_server('i-1')
         await self._check_not_sent(
             lambda backends: backends.update(
@@ -231,33 +235,33 @@
             )
         )
 
-    async def test_server_that_wants_rest_meanwhile_gets_nothing(self) -> None:
-        """Another request may have been told so while we connect."""
+    async def test_server_that_starts_backing_off_gets_nothing(self) -> None:
+        """Back-off is requested while a connection is opened."""
         await self._check_not_sent(
             lambda backends: backends.apply_signals(
                 pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
             )
         )
 
-    async def test_load_that_cannot_be_read(self) -> None:
-        """The answer counts all the same."""
-        for told in ('1,x,4', '1,2', '-1,2,4', '1.5,2,4', ',,'):
-            with self.subTest(told=told):
+    async def test_invalid_load_header_is_ignored(self) -> None:
+        """The answer is relayed nevertheless."""
+        for load in ('1,x,4', '1,2', '-1,2,4', '1.5,2,4', ',,'):
+            with self.subTest(load=load):
 
                 async def serve(
                     request: Received,
                     writer: asyncio.StreamWriter,
-                    told: str = told,
+                    load: str = load,
                 ) -> None:
-                    headers = _headers(request) | {_LOAD_HEADER: told}
+                    headers = _headers(request) | {_LOAD_HEADER: load}
                     writer.write(write_answer(200, headers, b'whole'))
 
                 self.servers.clear()
                 _, sink = await self._forward(serve)
                 self.assertTrue(sink.is_whole)
 
-    async def test_what_a_server_is_told(self) -> None:
-        """Target, body and headers unchanged; ours set, the key kept."""
+    async def test_request_that_a_server_receives(self) -> None:
+        """Reserved headers are replaced and the key is removed."""
         headers = [
             (b'host', b'a.example'),
             (ID_HEADER.encode(), b'r1'),
@@ -266,10 +270,10 @@
             (b'x-other', b'kept'),
         ]
         await self._forward(_serve, headers=headers, target=b'/x//%7e?a=&b')
-        asked_of = [
-            known for server in self.servers for known in server.received
+        received = [
+            request for server in self.servers for request in server.received
         ]
-        sent = asked_of[0]
+        sent = received[0]
         self.assertEqual(sent.target, b'/x//%7e?a=&b')
         self.assertEqual(sent.body, b'ask')
         self.assertEqual(sent.get('x-other'), 'kept')
@@ -278,15 +282,15 @@
         self.assertTrue(sent.get('x-test-expect').startswith('i-'))
         self.assertLessEqual(int(sent.get('x-test-deadline')), 5000)
 
-    async def test_broken_stream_has_a_part_of_the_budget(self) -> None:
-        """Where other second sends have used up all that is theirs."""
+    async def test_retry_budget_is_reserved_for_broken_streams(self) -> None:
+        """A stream is resumed after other retries used up their share."""
         progress, sink = build_progress(route=_STREAM)
-        left = [_break_stream, _end_stream]
+        remaining_steps = [_break_stream, _end_stream]
 
         async def handle(
             request: Received, writer: asyncio.StreamWriter
         ) -> None:
-            await left.pop(0)(request, writer)
+            await remaining_steps.pop(0)(request, writer)
 
         server = await self._stack.enter_async_context(run_scripted(handle))
         backends = build_backends(
@@ -299,14 +303,16 @@
         await forwarder.forward(progress)
         self.assertTrue(sink.is_whole)
 
-    async def _check_not_sent(self, tell: Callable[[Backends], object]) -> None:
-        """Let a server be spoken of while an attempt connects to it."""
+    async def _check_not_sent(
+        self, update: Callable[[Backends], object]
+    ) -> None:
+        """Check that an update while connecting prevents the send."""
         backends = build_backends([build_server('i-1')])
         progress, _ = build_progress()
         backend = pick(backends, 'i-1')
 
-        async def connect_late(known: Backend) -> Connection:
-            tell(backends)
+        async def connect_late(target: Backend) -> Connection:
+            update(backends)
             return Connection('x', Clock(), b'x')
 
         attempt = Attempt(
@@ -328,13 +334,13 @@
     async def _forward(
         self, *steps: Step, **changes: Any
     ) -> tuple[Progress, MemorySink]:
-        """Forward one request; the nth send to any server is step n."""
-        left = list(steps)
+        """Forward one request; the nth send is answered by step n."""
+        remaining_steps = list(steps)
 
         async def handle(
             request: Received, writer: asyncio.StreamWriter
         ) -> None:
-            await left.pop(0)(request, writer)
+            await remaining_steps.pop(0)(request, writer)
 
         for _ in range(3):
             self.servers.append(
--- a/seampond/forwarding/tests/test_incarnations.py
+++ b/seampond/forwarding/tests/test_incarnations.py
@@ -1,8 +1,7 @@
-"""A server that starts again under the id that it had.
+"""Servers that restart under the same id.
 
-It holds and knows nothing of before; a gateway that kept what it believed of
-the earlier start paused it for failures of another process, took prompts for
-read that it had never seen, and counted two ends of it as one.
+State of the previous process, such as failures or cached prompts, must not be
+applied to the new one.
 """
 
 import unittest
@@ -14,23 +13,23 @@
 from seampond.testing.gateways import build_backends, build_server, pick
 
 
-class LivesTest(unittest.TestCase):
-    """One id, several starts."""
+class IncarnationsTest(unittest.TestCase):
+    """Several incarnations of one server id."""
 
     def setUp(self) -> None:
-        """Know a server, and believe much of it."""
+        """Register a server and give it state."""
         self.clock = ManualClock(1000)
         self.first = build_server('i-1', started_ms=100)
         self.backends = build_backends([self.first], self.clock)
-        self.earlier = pick(self.backends, 'i-1')
-        self.earlier.record_failure(1000)
-        self.earlier.cached_parts['part'] = 500
-        self.earlier.report = LoadReport(4, 9, 0, 1000)
-        self.earlier.in_flight = 3
-        self.earlier.speed.record_service(900)
+        self.previous = pick(self.backends, 'i-1')
+        self.previous.record_failure(1000)
+        self.previous.cached_parts['part'] = 500
+        self.previous.report = LoadReport(4, 9, 0, 1000)
+        self.previous.in_flight = 3
+        self.previous.speed.record_service(900)
 
-    def test_nothing_believed_of_the_earlier_life_holds_on(self) -> None:
-        """Failures, pause, prompts, reports, speed, open requests."""
+    def test_state_of_the_previous_incarnation_is_dropped(self) -> None:
+        """Failures, pauses, caches, reports and speed start anew."""
         self.backends.update(
             [replace(self.first, started_ms=200, cold_ms=50)], []
         )
@@ -49,29 +48,29 @@
         self.assertEqual(later.cold_until_ms, 1050)
         self.assertTrue(later.is_usable(1000))
 
-    def test_nothing_is_sent_to_a_life_that_is_over(self) -> None:
-        """Whoever still holds it is told so before the send."""
+    def test_nothing_is_sent_to_a_previous_incarnation(self) -> None:
+        """Requests that wait to be sent to it see that it has ended."""
         self.backends.update([replace(self.first, started_ms=200)], [])
-        self.assertFalse(self.earlier.may_send(1000))
-        self.assertFalse(self.earlier.takes_work)
+        self.assertFalse(self.previous.may_send(1000))
+        self.assertFalse(self.previous.takes_work)
 
-    def test_a_row_of_an_earlier_life_comes_late(self) -> None:
-        """It does not bring that life back."""
+    def test_late_row_of_a_previous_incarnation(self) -> None:
+        """The row is ignored."""
         self.backends.update([replace(self.first, started_ms=200)], [])
         later = pick(self.backends, 'i-1')
         self.backends.update([self.first], [])
         self.assertIs(pick(self.backends, 'i-1'), later)
         self.assertEqual(later.server.started_ms, 200)
 
-    def test_a_row_without_a_start_is_as_before(self) -> None:
-        """The same life, and its start stays known."""
+    def test_row_without_a_start_time(self) -> None:
+        """The row updates the current incarnation, whose start is kept."""
         self.backends.update([replace(self.first, started_ms=0, slots=9)], [])
-        self.assertIs(pick(self.backends, 'i-1'), self.earlier)
-        self.assertEqual(self.earlier.server.slots, 9)
-        self.assertEqual(self.earlier.server.started_ms, 100)
+        self.assertIs(pick(self.backends, 'i-1'), self.previous)
+        self.assertEqual(self.previous.server.slots, 9)
+        self.assertEqual(self.previous.server.started_ms, 100)
 
-    def test_words_on_the_earlier_life_are_not_of_this_one(self) -> None:
-        """Loads are told by life."""
+    def test_remote_loads_are_matched_by_incarnation(self) -> None:
+        """A load on the previous incarnation is not applied."""
         backends = build_backends([], self.clock)
         backends._hash_name = hash_name  # noqa: SLF001
         backends.update([replace(self.first, started_ms=200)], [])
--- a/seampond/forwarding/tests/test_server_signals.py
+++ b/seampond/forwarding/tests/test_server_signals.py
@@ -1,4 +1,4 @@
-"""What is read of a server's answer about itself, well or badly written."""
+"""Parsing of server signals, valid and invalid."""
 
 import unittest
 from http import HTTPStatus
@@ -17,13 +17,13 @@
 )
 from seampond.testing.gateways import LEAVING_HEADER, LIMIT_HEADER, NAMES
 
-_LEAVING = LEAVING_HEADER.encode()
+_DRAINING = LEAVING_HEADER.encode()
 _LIMIT = LIMIT_HEADER.encode()
 _RETRY_AFTER = b'retry-after'
 _NOW_S = 1_000_000_000
 _LATER = 'Sun, 09 Sep 2001 01:46:45 GMT'
 _EARLIER = 'Sun, 09 Sep 2001 01:46:35 GMT'
-_READ = (
+_RETRY_TIMES = (
     ('3', 3000),
     (' 3 ', 3000),
     ('0.25', 250),
@@ -69,65 +69,65 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """The time that a server asks for."""
+    """Back-off in Retry-After headers."""
 
     def test_times(self) -> None:
-        """Fractions and dates count; what cannot be read is no wish."""
-        for text, expected in _READ:
+        """Fractions and dates are read; invalid values are ignored."""
+        for text, expected in _RETRY_TIMES:
             with self.subTest(text=text[:40]):
-                read = parse_retry_after_ms(text, _NOW_S)
-                self.assertEqual(read, expected)
+                parsed = parse_retry_after_ms(text, _NOW_S)
+                self.assertEqual(parsed, expected)
 
     @settings(derandomize=True, max_examples=300)
     @given(st.text(max_size=80))
     def test_whatever_is_written(self, text: str) -> None:
-        """It is a time inside the bounds, and nothing is raised."""
-        read = parse_retry_after_ms(text, _NOW_S)
-        self.assertTrue(0 <= read <= BACKOFF_MAX_MS)
+        """Any text gives a time within the bounds."""
+        parsed = parse_retry_after_ms(text, _NOW_S)
+        self.assertTrue(0 <= parsed <= BACKOFF_MAX_MS)
 
-    def test_the_longest_of_several_counts(self) -> None:
-        """Each of them was asked for."""
+    def test_longest_of_several_counts(self) -> None:
+        """Every one of several headers is respected."""
         head = ResponseHead(503, [(_RETRY_AFTER, b'1'), (_RETRY_AFTER, b'4')])
         self.assertEqual(parse_signals(head, NAMES).backoff_ms, 4000)
 
-    def test_other_answers_ask_for_nothing(self) -> None:
-        """The same header has another meaning there."""
+    def test_other_statuses_request_no_backoff(self) -> None:
+        """Retry-After only requests a back-off with status 503."""
         for status in (200, 301, 429, 500):
             head = ResponseHead(status, [(_RETRY_AFTER, b'4')])
             self.assertEqual(parse_signals(head, NAMES), ServerSignals())
 
 
-class LeavingTest(unittest.TestCase):
-    """The word of a leave."""
+class DrainingTest(unittest.TestCase):
+    """The draining header."""
 
     def test_any_answer_counts(self) -> None:
-        """Errors and redirects are answers of that server, too."""
+        """The status of the answer does not matter."""
         for status in (200, 204, 301, 404, 429, 500, 503):
-            head = ResponseHead(status, [(_LEAVING, b' 1 ')])
+            head = ResponseHead(status, [(_DRAINING, b' 1 ')])
             self.assertTrue(parse_signals(head, NAMES).is_draining)
 
-    def test_misdirected_requests_are_answered_by_another(self) -> None:
-        """Its word is not that of the server that was asked."""
-        head = ResponseHead(HTTPStatus.MISDIRECTED_REQUEST, [(_LEAVING, b'1')])
+    def test_misdirected_answer_is_ignored(self) -> None:
+        """It came from another server."""
+        head = ResponseHead(HTTPStatus.MISDIRECTED_REQUEST, [(_DRAINING, b'1')])
         self.assertFalse(parse_signals(head, NAMES).is_draining)
 
     def test_one_of_several_is_enough(self) -> None:
-        """Whichever comes first."""
-        head = ResponseHead(200, [(_LEAVING, b'0'), (_LEAVING, b'1')])
+        """The order of the headers does not matter."""
+        head = ResponseHead(200, [(_DRAINING, b'0'), (_DRAINING, b'1')])
         self.assertTrue(parse_signals(head, NAMES).is_draining)
 
-    def test_another_word_is_none(self) -> None:
-        """Nothing else says that it leaves."""
+    def test_other_values_are_ignored(self) -> None:
+        """Only the documented value means draining."""
         for text in (b'', b'0', b'no', b'11'):
-            head = ResponseHead(200, [(_LEAVING, text)])
+            head = ResponseHead(200, [(_DRAINING, text)])
             self.assertFalse(parse_signals(head, NAMES).is_draining)
 
 
 class LimitTest(unittest.TestCase):
-    """The requests a second that a server takes."""
+    """The limit header."""
 
     def test_limits(self) -> None:
-        """What cannot be read is none, and nothing is raised."""
+        """Invalid values are ignored."""
         for text, expected in _LIMITS:
             with self.subTest(text=text[:40]):
                 self.assertEqual(parse_limit(text), expected)
@@ -135,12 +135,12 @@
     @settings(derandomize=True, max_examples=300)
     @given(st.text(max_size=80))
     def test_whatever_is_written(self, text: str) -> None:
-        """It is none, or a number inside the bounds."""
-        read = parse_limit(text)
-        self.assertTrue(read is None or 0 <= read <= LIMIT_MAX_PER_SECOND)
+        """Any text gives None or a limit within the bounds."""
+        parsed = parse_limit(text)
+        self.assertTrue(parsed is None or 0 <= parsed <= LIMIT_MAX_PER_SECOND)
 
-    def test_the_lowest_of_several_counts(self) -> None:
-        """Each of them was named; one that cannot be read is none."""
+    def test_lowest_of_several_counts(self) -> None:
+        """Invalid headers among them are ignored."""
         for texts, expected in (
             ((b'3', b'1.5'), 1.5),
             ((b'few', b'2'), 2),
@@ -149,8 +149,8 @@
             head = ResponseHead(200, [(_LIMIT, text) for text in texts])
             self.assertEqual(parse_signals(head, NAMES).limit, expected)
 
-    def test_any_answer_of_that_server_counts(self) -> None:
-        """A misdirected request is answered by another."""
+    def test_only_misdirected_answers_are_ignored(self) -> None:
+        """Any other status carries the limit of the server."""
         for status in (200, 301, 404, 429, 500, 503):
             head = ResponseHead(status, [(_LIMIT, b'2')])
             self.assertEqual(parse_signals(head, NAMES).limit, 2)
