--- a/seampond/sharing/__init__.py
+++ b/seampond/sharing/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways share: who they are, and how a quota is split."""
+"""State shared between gateways: peers, heartbeats and quotas."""
 
 from seampond.sharing.bucket import QuotaMargin as QuotaMargin
 from seampond.sharing.hashing import hash_name as hash_name
--- a/seampond/sharing/heartbeat.capnp
+++ b/seampond/sharing/heartbeat.capnp
@@ -1,8 +1,7 @@
 @0xd1c3a1b58f7e2a65;
-# What gateways tell each other, one datagram each.  Servers, tenants and
-# tables are told by the keys of their names.  A table is told by its columns:
-# a list of numbers is read at once, a list of structs field by field, which
-# takes three times as long.
+# Heartbeat between gateways, one datagram each.  Servers, tenants and tables
+# are identified by the hashes of their names.  Mappings are sent as parallel
+# lists, since a list of numbers decodes faster than a list of structs.
 
 struct Heartbeat {
   name @0 :Text;
--- a/seampond/sharing/heartbeats.py
+++ b/seampond/sharing/heartbeats.py
@@ -1,4 +1,4 @@
-"""The message between gateways, to bytes and back by Cap'n Proto."""
+"""Heartbeats between gateways and their Cap'n Proto encoding."""
 
 import functools
 import math
@@ -18,19 +18,19 @@
 _MAX_UINT32 = 4_294_967_295
 _SCHEMA_FILE = 'heartbeat.capnp'
 _Key = TypeVar('_Key')
-_Told = TypeVar('_Told')
-_FAILURES = (capnp.KjException, ValueError, KeyError, AttributeError)
+_Value = TypeVar('_Value')
+_DECODE_ERRORS = (capnp.KjException, ValueError, KeyError, AttributeError)
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What one gateway has on one server.
+    """Load of one gateway on one server.
 
     Parameters
     ----------
     running, pending_tokens : int
-        Its requests there, and the prompt tokens to be read for those that
-        wait for their first byte.
+        Running requests, and the prompt tokens of those that still wait for
+        their first byte.
 
     """
 
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedPage:
-    """Changes of a table of the store, passed on as they were read.
+    """Changes of a store table, relayed by the gateway that read them.
 
     Parameters
     ----------
     table : int
-        The key of the table.
+        Hash of the table's name.
     since : int
-        The version after which these changes are all.
+        Version after which the changes are complete.
     version : int
-        The version up to which they are all.
+        Version up to which the changes are complete.
     store_ms : int
-        The store's steady clock then.
+        Store's monotonic clock at the read.
 
     """
 
@@ -64,44 +64,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What one gateway tells the others, some times a second.
+    """State that a gateway sends to the others several times a second.
 
     Parameters
     ----------
     incarnation : int
-        One life of the process, a random number.
+        Random number that identifies one start of the process.
     sequence : int
-        Rises with each heartbeat of a life.
+        Increases with each heartbeat of an incarnation.
     version : int
-        The configuration in force there.
+        Version of the configuration in force at the sender.
+    spent : Mapping[int, float]
+        Units granted since the start, by hash of the tenant.
     uptime_ms : int
-        How long this life has lasted.
-    has_stopped : bool
-        Whether this is the last word of this life, after a planned stop.
+        Time since the start of the process.
     loads : Mapping[int, Load]
-        By key of the server, what it has where it has anything.
-    spent : Mapping[int, float]
-        By key of the tenant, what it has given in this life, in units.
+        Nonzero loads, by hash of the server.
+    has_stopped : bool
+        Whether this is the last heartbeat after a planned stop.
     proofs : Mapping[int, FreshnessProof]
-        By key of a table of the store, what it knows of its newest change.
+        Newest known change, by hash of the table.
     levels : Mapping[int, int]
-        By key of the tenant, the level of its bucket in units, below zero
-        for a debt; told while a gateway is there that has just started.
+        Levels of the quota buckets in units, by hash of the tenant; sent only
+        while some gateway has just started.
     is_store_unreachable : bool
-        Whether its calls to the store fail, so that it passes nothing on.
+        Whether the sender's calls to the store fail.
     pages : tuple[RelayedPage, ...]
-        What it has read of the store since its last heartbeat.
+        Changes read from the store since the last heartbeat.
     rollouts : tuple[Report, ...]
-        How far it has come with the roll-outs that are carried out.
+        Progress of the roll-outs that are carried out.
     crashes : tuple[CrashReport, ...]
-        Under which requests servers have ended.
+        Requests under which servers crashed.
     successes : Mapping[int, int]
-        By fingerprint, how long ago a request got a good answer that speaks
-        against such ends.
+        By fingerprint, milliseconds since a successful answer to a request
+        that is suspected of crashes.
     limit_reports : Mapping[int, LimitReport]
-        By key of a server's life, what it has heard of its limit.
+        Limits reported by servers, by hash of the server's incarnation.
     issues_permits : bool
-        Whether it may own limits.
+        Whether the sender may own server limits.
 
     """
 
@@ -130,8 +130,10 @@
     return capnp.load(str(Path(__file__).with_name(_SCHEMA_FILE)))
 
 
-def _join(keys: Iterable[_Key], told: Iterable[_Told]) -> dict[_Key, _Told]:
-    """Give the rows of a table that is told by its columns.
+def _zip_columns(
+    keys: Iterable[_Key], values: Iterable[_Value]
+) -> dict[_Key, _Value]:
+    """Return the mapping that is sent as one column of keys and one of values.
 
     Raises
     ------
@@ -139,11 +141,11 @@
         If one column is longer than the other.
 
     """
-    return dict(zip(keys, told, strict=True))
+    return dict(zip(keys, values, strict=True))
 
 
-def _describe(page: RelayedPage) -> dict[str, Any]:
-    """Give the fields of a page as the schema names them."""
+def _page_fields(page: RelayedPage) -> dict[str, Any]:
+    """Return the fields of a page by their schema names."""
     return {
         'table': page.table,
         'since': page.since,
@@ -172,8 +174,8 @@
     )
 
 
-def _describe_report(report: Report) -> dict[str, Any]:
-    """Give the fields of a report as the schema names them."""
+def _report_fields(report: Report) -> dict[str, Any]:
+    """Return the fields of a report by their schema names."""
     tallies = report.tallies
     return {
         'pool': report.pool,
@@ -194,15 +196,15 @@
         reader.order,
         Stage(reader.stage),
         reader.openOld,
-        _join(keys, map(Tally, reader.answers, reader.bad)),
+        _zip_columns(keys, map(Tally, reader.answers, reader.bad)),
     )
 
 
-def _fit(number: int) -> int:
+def _clamp_uint32(number: int) -> int:
     return min(number, _MAX_UINT32)
 
 
-def _read_ends(reader: Any) -> tuple[CrashReport, ...]:
+def _read_crashes(reader: Any) -> tuple[CrashReport, ...]:
     columns = (
         reader.endRequests,
         reader.endLives,
@@ -210,7 +212,7 @@
         reader.endAgoMs,
         reader.endsProven,
     )
-    return tuple(CrashReport(*told) for told in zip(*columns, strict=True))
+    return tuple(CrashReport(*fields) for fields in zip(*columns, strict=True))
 
 
 def encode(heartbeat: Heartbeat) -> bytes:
@@ -233,32 +235,42 @@
         uptimeMs=heartbeat.uptime_ms,
         isGone=heartbeat.has_stopped,
         spentTenants=list(spent),
-        # Told whole: a part of a unit more is on the safe side.
+        # Rounded up, since reporting too much keeps within the quota.
         spentUnits=[math.ceil(max(0, units)) for units in spent.values()],
         loadServers=list(loads),
         loadRunning=[load.running for load in loads.values()],
-        loadUnread=[_fit(load.pending_tokens) for load in loads.values()],
+        loadUnread=[
+            _clamp_uint32(load.pending_tokens) for load in loads.values()
+        ],
         proofTables=list(proofs),
         proofChanged=[proof.latest_change for proof in proofs.values()],
         proofStoreMs=[proof.store_ms for proof in proofs.values()],
         levelTenants=list(levels),
         levelUnits=list(levels.values()),
         isCut=heartbeat.is_store_unreachable,
-        pages=[_describe(page) for page in heartbeat.pages],
-        rollouts=[_describe_report(report) for report in heartbeat.rollouts],
-        endRequests=[end.request for end in heartbeat.crashes],
-        endLives=[end.incarnation for end in heartbeat.crashes],
-        endStartedAgoMs=[_fit(end.run_age_ms) for end in heartbeat.crashes],
-        endAgoMs=[_fit(end.crash_age_ms) for end in heartbeat.crashes],
-        endsProven=[end.had_success for end in heartbeat.crashes],
+        pages=[_page_fields(page) for page in heartbeat.pages],
+        rollouts=[_report_fields(report) for report in heartbeat.rollouts],
+        endRequests=[crash.request for crash in heartbeat.crashes],
+        endLives=[crash.incarnation for crash in heartbeat.crashes],
+        endStartedAgoMs=[
+            _clamp_uint32(crash.run_age_ms) for crash in heartbeat.crashes
+        ],
+        endAgoMs=[
+            _clamp_uint32(crash.crash_age_ms) for crash in heartbeat.crashes
+        ],
+        endsProven=[crash.had_success for crash in heartbeat.crashes],
         goodRequests=list(heartbeat.successes),
-        goodAgoMs=[_fit(ago_ms) for ago_ms in heartbeat.successes.values()],
+        goodAgoMs=[
+            _clamp_uint32(ago_ms) for ago_ms in heartbeat.successes.values()
+        ],
         limitLives=list(heartbeat.limit_reports),
         limitRates=[
-            encode_rate(word.rate) for word in heartbeat.limit_reports.values()
+            encode_rate(report.rate)
+            for report in heartbeat.limit_reports.values()
         ],
         limitSaidAgoMs=[
-            _fit(word.age_ms) for word in heartbeat.limit_reports.values()
+            _clamp_uint32(report.age_ms)
+            for report in heartbeat.limit_reports.values()
         ],
         givesPermits=heartbeat.issues_permits,
     )
@@ -272,7 +284,7 @@
     Raises
     ------
     ForeignMessageError
-        If the bytes are no heartbeat.
+        If the bytes are not a heartbeat.
 
     """
     try:
@@ -282,25 +294,25 @@
             reader.incarnation,
             reader.sequence,
             reader.version,
-            _join(reader.spentTenants, reader.spentUnits),
+            _zip_columns(reader.spentTenants, reader.spentUnits),
             reader.isStopping,
             reader.uptimeMs,
-            _join(
+            _zip_columns(
                 reader.loadServers,
                 map(Load, reader.loadRunning, reader.loadUnread),
             ),
             reader.isGone,
-            _join(
+            _zip_columns(
                 reader.proofTables,
                 map(FreshnessProof, reader.proofChanged, reader.proofStoreMs),
             ),
-            _join(reader.levelTenants, reader.levelUnits),
+            _zip_columns(reader.levelTenants, reader.levelUnits),
             reader.isCut,
             tuple(_read_page(page) for page in reader.pages),
             tuple(_read_report(report) for report in reader.rollouts),
-            _read_ends(reader),
-            _join(reader.goodRequests, reader.goodAgoMs),
-            _join(
+            _read_crashes(reader),
+            _zip_columns(reader.goodRequests, reader.goodAgoMs),
+            _zip_columns(
                 reader.limitLives,
                 map(
                     LimitReport,
@@ -310,7 +322,9 @@
             ),
             reader.givesPermits,
         )
-    except _FAILURES as error:
+    except _DECODE_ERRORS as error:
         raise ForeignMessageError(
-            f'no heartbeat: {type(error).__name__}', step='decode', peer=peer
+            f'invalid heartbeat: {type(error).__name__}',
+            step='decode',
+            peer=peer,
         ) from error
--- a/seampond/sharing/loads.py
+++ b/seampond/sharing/loads.py
@@ -20,8 +20,10 @@
     >>> totals = LoadTotals()
     >>> totals.replace({}, {7: Load(2, 500)})
     >>> totals.replace({7: Load(2, 500)}, {7: Load(1, 0), 8: Load(1, 90)})
-    >>> sorted(totals.pop_changed().items())
-    [(7, Load(running=1, pending_tokens=0)), (8, Load(running=1, pending_tokens=90))]
+    >>> for server, load in sorted(totals.pop_changed().items()):
+    ...     print(server, load)
+    7 Load(running=1, pending_tokens=0)
+    8 Load(running=1, pending_tokens=90)
     >>> totals.pop_changed()
     {}
 
--- a/seampond/sharing/peers.py
+++ b/seampond/sharing/peers.py
@@ -1,4 +1,4 @@
-"""The other gateways: who they are and when each was last heard."""
+"""The other gateways and when each of them was last heard from."""
 
 import asyncio
 import logging
@@ -12,42 +12,40 @@
 
 _HEARTBEAT_INTERVAL_MS = 300
 _MAX_HEARTBEAT_INTERVAL_MS = 3000
-# Each tells each, so beyond this many the pace slows and what one gateway
-# hears stays at 100 heartbeats a second: 340 gateways at 300 ms would send
-# each of them 1,130.
+# Beyond this many gateways the interval grows, so that the heartbeats received
+# by each stay at about 100 per second.
 _FULL_RATE_GATEWAYS = 30
 _SILENT_INTERVALS = 3
-# How many answer a gateway that has just started: one would do, and some of
-# the answers are lost or come from gateways that know no levels themselves.
+# Expected number of gateways that reply to a newcomer; more than one, since
+# replies may be lost or come from gateways without levels.
 _SAMPLE_SIZE = 8
-# How many gateways follow the tables of the store and pass changes on: one may
-# freeze, one be cut off and one just end before the others notice.
+# Gateways that follow the store's tables and relay changes; several, since some
+# may fail before the others notice.
 _FOLLOWER_COUNT = 4
 _FORGET_AFTER_MS = 20_000
-# Some heartbeats of a gateway's life, of which some may be lost.
+# Spans several heartbeats, some of which may be lost.
 _NEWCOMER_UPTIME_MS = 2000
-# How long a count of who is heard is good for: it is asked for several times
-# for each request, and takes a look at each gateway.
+# The summary visits every peer and is used several times per request.
 _SUMMARY_MAX_AGE_MS = 20
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class Peer:
-    """One other gateway.
+    """State of one other gateway.
 
     Parameters
     ----------
     last_seen_ms : int
-        When it was first known or last heard.
+        Time of its last heartbeat, or else when it was first listed.
     heartbeat : Heartbeat or None
-        The newest that came from it.
+        Its newest heartbeat.
     undecodable_ms : int
-        When something last came from it that cannot be read, 0 for never.
+        Time of its last undecodable datagram, 0 for never.
     is_silent : bool
-        Whether it was not heard of late.
+        Whether its heartbeats have been missing.
     counted_loads : Mapping[int, Load]
-        What of its load is in the sums.
+        Its loads as included in the totals.
 
     """
 
@@ -61,31 +59,35 @@
 
     @property
     def has_stopped(self) -> bool:
-        """Whether it has ended a planned stop."""
+        """Whether it has completed a planned stop."""
         return self.heartbeat is not None and self.heartbeat.has_stopped
 
     def update_load_totals(
         self, totals: LoadTotals, loads: Mapping[int, Load]
     ) -> None:
-        """Put its loads into sums in the place of those before."""
+        """Replace its previous loads in the totals."""
         totals.replace(self.counted_loads, loads)
         self.counted_loads = loads
 
 
 @dataclass(frozen=True, slots=True)
 class PeerSummary:
-    """How many other gateways there may be, and how many are heard.
+    """Counts over the other gateways at one moment.
 
     Parameters
     ----------
+    alive : int
+        Gateways that may be serving.
+    reachable : int
+        Those with recent heartbeats.
     has_serving_peer : bool
-        Whether one that is heard is not about to stop.
+        Whether a reachable one is not stopping.
     has_newcomer : bool
-        Whether one that is heard has just started.
+        Whether a reachable one has just started.
     followers_before : int
-        How many that are heard and reach the store come before us.
+        Reachable ones with access to the store that precede this gateway.
     permit_issuers : tuple[str, ...]
-        Those that are heard and give permits.
+        Names of reachable ones that issue permits.
 
     """
 
@@ -99,7 +101,7 @@
 
 
 def compute_heartbeat_interval_ms(gateways: int) -> int:
-    """Give how long after one heartbeat the next is due, if none is urgent.
+    """Return the regular interval between two heartbeats of one gateway.
 
     Examples
     --------
@@ -114,27 +116,31 @@
 
 
 class Peers:
-    """The gateways that share limits with this one.
+    """The other gateways, which share limits with this one.
 
     Explanation
     -----------
-    A gateway that falls silent may still be serving, so it counts until it
-    has been silent for long; one that has ended a planned stop says so.
+    A silent gateway may still be serving, so it is counted until it has been
+    silent for a long time.  After a planned stop it is not counted.
 
     Parameters
     ----------
     name : str
-        This gateway's own name.
+        Name of this gateway.
 
     Attributes
     ----------
     registration_lost : asyncio.Event
-        Set where the table that names the gateways has lost us.
+        Set when the gateways' table no longer lists this gateway.
+    has_gateway_list : bool
+        Whether the gateways' table has been read.
+    registration_version : int
+        Version of this gateway's row, 0 if it has not been seen.
 
     """
 
     def __init__(self, name: str, clock: Clock) -> None:
-        """Start knowing nobody."""
+        """Start without any peers."""
         self.registration_lost = asyncio.Event()
         self.has_gateway_list = False
         self.registration_version = 0
@@ -146,33 +152,32 @@
 
     @property
     def count(self) -> int:
-        """How many gateways there may be, this one among them."""
+        """Number of gateways that may be serving, this one included."""
         return self._summary.alive + 1
 
     @property
     def heartbeat_interval_ms(self) -> int:
-        """How long after one heartbeat the next is due, if none is urgent."""
+        """Regular interval between two heartbeats."""
         return compute_heartbeat_interval_ms(self.count)
 
     @property
     def interval_factor(self) -> float:
-        """How much more seldom each does what grows with the gateways."""
+        """Factor by which intervals grow in a large fleet."""
         return max(1, self.count / _FULL_RATE_GATEWAYS)
 
     @property
     def sample_probability(self) -> float:
-        """The chance with which each does what a few of all should do.
+        """Probability with which a gateway does what a few of all should do.
 
         Explanation
         -----------
-        Where each of 68 gateways answers each other's start, one start of all
-        makes 4,600 datagrams.
+        Keeps the number of replies from growing with the square of the fleet.
         """
         return min(1.0, _SAMPLE_SIZE / self.count)
 
     @property
     def rank(self) -> int:
-        """How many others that are heard come before us by name."""
+        """Number of reachable gateways that precede this one by name."""
         return sum(
             peer.name < self.name and not peer.has_stopped
             for peer in self._peers.values()
@@ -181,28 +186,28 @@
 
     @property
     def names(self) -> frozenset[str]:
-        """The others that are listed."""
+        """Names of the other listed gateways."""
         return frozenset(self._peers)
 
     @property
     def addresses(self) -> list[str]:
-        """Where the others listen, also those that were silent for long."""
+        """Addresses of the other gateways, silent ones included."""
         return [peer.address for peer in self._peers.values()]
 
     @property
     def all_reachable(self) -> bool:
-        """Whether each that may be serving was heard of late."""
+        """Whether all gateways that may be serving are reachable."""
         return (
             self.has_gateway_list
             and self._summary.reachable == self._summary.alive
         )
 
     def list_heartbeats(self) -> list[Heartbeat] | None:
-        """Give the newest word of each that may be serving.
+        """Return the newest heartbeat of each gateway that may be serving.
 
         Explanation
         -----------
-        None while one of them was not heard of late, or the list is not known.
+        None while one of them is silent or the list has not been read.
         """
         if not self.all_reachable:
             return None
@@ -217,7 +222,7 @@
 
     @property
     def reachable_fraction(self) -> float:
-        """The part of all gateways that is heard, this one among them.
+        """Fraction of all gateways that is reachable, this one included.
 
         Examples
         --------
@@ -233,37 +238,37 @@
 
     @property
     def is_follower(self) -> bool:
-        """Whether we are one of the few that follow the store for all.
+        """Whether this gateway is one of the few that follow the store.
 
         Explanation
         -----------
-        All work it out alike from whom they hear, in an order by key, which
-        has nothing to do with halls: a hall may be lost as one.
+        The order by hash is the same at every gateway and independent of
+        halls, so that the loss of one hall does not remove all followers.
         """
         return self._summary.followers_before < _FOLLOWER_COUNT
 
     @property
     def permit_issuers(self) -> tuple[str, ...]:
-        """The others that are heard and give permits."""
+        """Names of the reachable gateways that issue permits."""
         return self._summary.permit_issuers
 
     @property
     def has_newcomer(self) -> bool:
-        """Whether some other gateway has just started."""
+        """Whether a reachable gateway has just started."""
         return self._summary.has_newcomer
 
     @property
     def has_serving_peer(self) -> bool:
-        """Whether some other gateway that is heard is not about to stop."""
+        """Whether a reachable gateway is not stopping."""
         return self._summary.has_serving_peer
 
     def address_of(self, name: str) -> str:
-        """Give where a gateway listens, empty if it is not known."""
+        """Return the address of a gateway, empty if it is not listed."""
         peer = self._peers.get(name)
         return peer.address if peer else ''
 
     def apply_rows(self, rows: Iterable[tuple[str, str]]) -> None:
-        """Take names and addresses from the store; no address: it is gone."""
+        """Apply names and addresses; an empty address removes the gateway."""
         self.has_gateway_list = True
         self._cached_summary = None
         for name, address in rows:
@@ -271,29 +276,34 @@
                 self._apply_row(name, address)
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> bool:
-        """Take a heartbeat; tell whether it says anything new.
+        """Apply a heartbeat; return False if it was discarded.
 
         Explanation
         -----------
-        One that was overtaken by a later one does not, nor does one of a
-        gateway that the store does not list.
+        Discarded are heartbeats that a later one overtook and those of
+        gateways that the store does not list.
         """
         peer = self._peers.get(heartbeat.name)
         if peer is None:
             return False
         last = peer.heartbeat
-        is_same_life = last and last.incarnation == heartbeat.incarnation
-        if is_same_life and last and heartbeat.sequence <= last.sequence:
+        is_same_incarnation = last and last.incarnation == heartbeat.incarnation
+        if is_same_incarnation and last and heartbeat.sequence <= last.sequence:
             return False
         peer.heartbeat = heartbeat
         peer.last_seen_ms = self._clock.now()
         peer.update_load_totals(
             self.load_totals, {} if peer.has_stopped else heartbeat.loads
         )
-        is_other = (
+        has_changed = (
             last and last.is_store_unreachable != heartbeat.is_store_unreachable
         )
-        if not is_same_life or is_other or peer.is_silent or peer.has_stopped:
+        if (
+            not is_same_incarnation
+            or has_changed
+            or peer.is_silent
+            or peer.has_stopped
+        ):
             self._cached_summary = None
         if peer.is_silent:
             peer.is_silent = False
@@ -301,12 +311,12 @@
         return True
 
     def record_undecodable(self, address: str) -> None:
-        """Note that what came from an address cannot be read.
+        """Record an undecodable datagram from an address.
 
         Explanation
         -----------
-        A gateway of another build may be there, which uses up its part of
-        what all share.  It counts, though it is not heard.
+        It may come from a gateway of another build, which uses its share of
+        the limits: it counts as alive but not as reachable.
         """
         for peer in self._peers.values():
             if peer.address != address:
@@ -314,12 +324,13 @@
             if not peer.undecodable_ms:
                 self._cached_summary = None
                 _logger.warning(
-                    'gateway not understood', extra={'peer': peer.name}
+                    'gateway sends undecodable datagrams',
+                    extra={'peer': peer.name},
                 )
             peer.undecodable_ms = self._clock.now()
 
     def record_silent_peers(self) -> None:
-        """Note and log who has fallen silent."""
+        """Record and log the gateways that have become silent."""
         for peer in self._peers.values():
             if self._is_silent(peer) and not peer.is_silent:
                 peer.is_silent = True
@@ -335,7 +346,7 @@
 
     @property
     def _summary(self) -> PeerSummary:
-        """Who is there, counted a moment ago at the most."""
+        """Summary of the peers, recomputed when it is outdated."""
         now_ms = self._clock.now()
         if (
             self._cached_summary is None
@@ -379,16 +390,16 @@
         )
 
     def _apply_row(self, name: str, address: str) -> None:
-        known = self._peers.get(name)
-        if address and known is not None:
-            known.address = address
+        peer = self._peers.get(name)
+        if address and peer is not None:
+            peer.address = address
         elif address:
             self._peers[name] = Peer(name, address, self._clock.now())
-            _logger.info('gateway known', extra={'peer': name})
-        elif known is not None:
-            known.update_load_totals(self.load_totals, {})
+            _logger.info('gateway added', extra={'peer': name})
+        elif peer is not None:
+            peer.update_load_totals(self.load_totals, {})
             self._peers.pop(name)
-            _logger.info('gateway gone', extra={'peer': name})
+            _logger.info('gateway removed', extra={'peer': name})
 
     def _is_silent(self, peer: Peer) -> bool:
         if peer.heartbeat is None:
--- a/seampond/sharing/quotas.py
+++ b/seampond/sharing/quotas.py
@@ -151,8 +151,8 @@
         for bucket in self._buckets.values():
             self._refill(bucket)
         return {
-            key: math.floor(bucket.level)
-            for key, bucket in self._buckets.items()
+            key: math.floor(tenant_bucket.level)
+            for key, tenant_bucket in self._buckets.items()
         }
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
--- a/seampond/sharing/transport.py
+++ b/seampond/sharing/transport.py
@@ -1,4 +1,4 @@
-"""Heartbeats to and from the other gateways, over UDP."""
+"""Exchange heartbeats and permit messages with other gateways over UDP."""
 
 import asyncio
 import logging
@@ -23,23 +23,22 @@
 from seampond.tasks import run_tasks
 from seampond.watches import Page, Row
 
-# Of the pause between two heartbeats, what lies at least between two that are
-# urgent.
+# Fraction of the regular interval that separates two urgent heartbeats.
 _MIN_INTERVAL_FRACTION = 0.1
 _REGISTER_RETRY_MS = 500
 _UNREGISTER_TIMEOUT_MS = 300
 _FINAL_COPIES = 3
-# The first heartbeats of a gateway are answered at once.
+# Heartbeats up to this uptime are answered at once.
 _NEWCOMER_UPTIME_MS = 400
 _FINAL_SEQUENCE = 4_611_686_018_427_387_904
 _logger = logging.getLogger(__name__)
 
 
 class RowWriter(Protocol):
-    """Writes one row of the gateways' table."""
+    """Writes rows of the gateways' table."""
 
     async def put(self, key: str, content: bytes) -> None:
-        """Write the row, whatever it held."""
+        """Write the row unconditionally."""
 
     async def remove(self, key: str, version: int) -> None:
         """Remove the row if it still has this version."""
@@ -47,22 +46,22 @@
 
 @dataclass(frozen=True)
 class TransportContext:
-    """What exchanging heartbeats needs.
+    """Dependencies of the heartbeat exchange.
 
     Parameters
     ----------
     make_heartbeat : Callable[[int], Heartbeat]
-        Gives the heartbeat of a sequence number.
+        Builds the heartbeat with a sequence number.
     record_sent : Callable[[], None]
-        Told when all others were sent the heartbeat that was just made.
+        Called when the last built heartbeat is sent to all gateways.
     apply_heartbeat : Callable[[Heartbeat], None]
-        Takes what another gateway has said.
+        Processes a heartbeat of another gateway.
     heartbeat_requested : asyncio.Event
-        Set where the others should hear of us at once.
+        Set to send a heartbeat before the regular interval ends.
     count_dropped : Callable[[str], None]
-        Counts a datagram that cannot be read.
+        Counts an undecodable datagram by its kind.
     handle_permit : Callable[[PermitRequest | PermitReply], None]
-        Takes what another gateway asks or answers on permits.
+        Handles a permit message of another gateway.
 
     """
 
@@ -77,7 +76,7 @@
 
 
 class _Endpoint(asyncio.DatagramProtocol):
-    """Where heartbeats come in and go out."""
+    """UDP endpoint that sends and receives heartbeats."""
 
     def __init__(self, context: TransportContext) -> None:
         self._context = context
@@ -87,11 +86,11 @@
     def connection_made(  # type: ignore[override]
         self, transport: asyncio.DatagramTransport
     ) -> None:
-        """Keep what sends."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, packet: bytes, addr: tuple[str, int]) -> None:
-        """Take one heartbeat; answer one that has just started."""
+        """Handle one datagram; reply to a gateway that has just started."""
         context = self._context
         if is_permit_message(packet):
             self._handle_permit(packet, addr[0])
@@ -114,7 +113,7 @@
     def send_permit(
         self, name: str, message: PermitRequest | PermitReply
     ) -> None:
-        """Send one gateway what it asks or is asked for."""
+        """Send a permit message to one gateway."""
         address = self._context.peers.address_of(name)
         if self._transport is None or not address:
             return
@@ -122,18 +121,19 @@
         self._transport.sendto(encode_permit(message), (host, int(port)))
 
     def send_to_all(self) -> None:
-        """Send a heartbeat to all others."""
+        """Send a heartbeat to all other gateways."""
         context = self._context
         heartbeat = context.make_heartbeat(self._next_sequence())
         context.record_sent()
         self._send(heartbeat, context.peers.addresses)
 
     def send_final(self) -> None:
-        """Send the last word of this life.
+        """Announce the end of a planned stop to all other gateways.
 
         Explanation
         -----------
-        Datagrams may be lost; who hears none of these waits for the row.
+        Sent several times, since datagrams may be lost.  A gateway that
+        receives none learns of the stop from the gateways' table.
         """
         context = self._context
         last = replace(
@@ -143,12 +143,11 @@
             self._send(last, context.peers.addresses)
 
     def _reply_to_newcomer(self, name: str) -> None:
-        """Tell one that has just started what it waits for: the levels.
+        """Send the bucket levels to a gateway that has just started.
 
         Explanation
         -----------
-        A few answers are enough, and go to nobody else: an answer of each to
-        all would be as many datagrams as there are pairs of gateways.
+        Only a random few of the gateways reply, and only to the newcomer.
         """
         peers = self._context.peers
         if random.random() < peers.sample_probability:
@@ -178,7 +177,7 @@
 
 
 def apply_gateway_rows(peers: Peers, page: Page) -> None:
-    """Take the rows of the gateways' table."""
+    """Apply rows of the gateways' table."""
     latest = {row.key: row for row in page.rows}
     listed: dict[str, str] = {}
     for row in latest.values():
@@ -186,11 +185,11 @@
             listed[row.key] = '' if row.is_deleted else _read_address(row)
         except PlatformError as error:
             _logger.warning(
-                'row of a gateway refused',
+                'invalid row in the table of gateways',
                 extra={'key': row.key, 'reason': error.message},
             )
     if page.is_snapshot:
-        # A removal that was missed shows only by the row that is not there.
+        # A snapshot has no deleted rows: missing gateways were removed.
         listed |= dict.fromkeys(peers.names - latest.keys(), '')
         if peers.registration_version and peers.name not in latest:
             peers.registration_lost.set()
@@ -207,27 +206,29 @@
 async def register(
     writer: RowWriter, peers: Peers, address: str, clock: Clock
 ) -> None:
-    """Write our own row, and again whenever the store has lost it."""
+    """Register this gateway, and again whenever the store loses its row."""
     content = encode_gateway(address)
     while True:
         peers.registration_lost.clear()
         try:
             await writer.put(peers.name, content)
         except PlatformError as error:
-            _logger.warning('not registered', extra={'reason': error.message})
+            _logger.warning(
+                'registration failed', extra={'reason': error.message}
+            )
             await clock.sleep(_REGISTER_RETRY_MS)
         else:
-            # A restore of the store from an older copy may lose it.
+            # The store may be restored from a copy without the row.
             await peers.registration_lost.wait()
 
 
 async def unregister(writer: RowWriter, peers: Peers) -> None:
-    """Remove our own row, as the last act of a planned stop.
+    """Remove this gateway's row at the end of a planned stop.
 
     Explanation
     -----------
-    Only the row that this life wrote: a call may take effect late, when our
-    next life has written its own.
+    Only the version that this process wrote is removed: the call may take
+    effect after the next process has registered.
     """
     with suppress(PlatformError, TimeoutError):
         async with asyncio.timeout(_UNREGISTER_TIMEOUT_MS / MS_PER_SECOND):
@@ -255,12 +256,12 @@
 async def exchange_heartbeats(
     address: str, context: TransportContext
 ) -> AsyncIterator[Callable[[str, PermitRequest | PermitReply], None]]:
-    """Exchange heartbeats until the end of the `with`.
+    """Exchange heartbeats within the `with` block.
 
     Returns
     -------
     Callable[[str, Ask | Reply], None]
-        Sends a gateway, by its name, what is said of permits.
+        Sends a permit message to the gateway of a name.
 
     """
     host, _, port = address.rpartition(':')
