--- a/seampond/quarantine/__init__.py
+++ b/seampond/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the servers which run them."""
+"""Quarantine of requests that crash the servers that run them."""
 
 from seampond.quarantine.fingerprints import fingerprint as fingerprint
 from seampond.quarantine.fingerprints import (
--- a/seampond/quarantine/fingerprints.py
+++ b/seampond/quarantine/fingerprints.py
@@ -1,4 +1,4 @@
-"""A key of what a request asks, whatever its id."""
+"""Fingerprints of requests, independent of request ids."""
 
 import hashlib
 
@@ -8,13 +8,12 @@
 def fingerprint(
     method: bytes, host: bytes, target: bytes, workspace: str, body: bytes
 ) -> int:
-    """Give the same key of 64 bits for the same request in every process.
+    """Return a 64-bit key that is equal for equal requests in any process.
 
     Explanation
     -----------
-    A caller that comes again has a new request id; path, caller and body
-    are what stays.  Two of a million requests have the same key once in
-    37 million fleets.
+    A retry has a new request id, but the same method, path, workspace and
+    body.  Each part is prefixed with its length, so that parts cannot shift.
 
     Examples
     --------
@@ -33,7 +32,7 @@
 
 
 def format_fingerprint(key: int) -> str:
-    """Give a key as logs and the store name it.
+    """Return a fingerprint in the format of logs and the store.
 
     Examples
     --------
--- a/seampond/quarantine/models.py
+++ b/seampond/quarantine/models.py
@@ -1,20 +1,20 @@
-"""What is noted of requests under which servers have ended."""
+"""Records of requests that servers crashed under."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A server's life that ended while a request ran on it.
+    """A crash of a server while a request ran on it.
 
     Parameters
     ----------
     incarnation : int
-        The key of the server's life.
+        Key of the server incarnation.
     started_ms : int
-        When the request was sent there.
+        When the request was sent to the server.
     at_ms : int
-        When the end was seen.
+        When the crash was observed.
 
     """
 
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """An end as one gateway tells it, with ages in place of moments.
+    """A crash as gateways report it, with ages in place of times.
 
     Parameters
     ----------
     request : int
-        The fingerprint of the request.
+        Fingerprint of the request.
     had_success : bool
-        Whether the request had got a good answer shortly before.
+        Whether the request succeeded shortly before.
 
     """
 
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TrialRow:
-    """How often a quarantined request was tried again, as the store has it.
+    """The store's row on the trials of a quarantined request.
 
     Parameters
     ----------
     trials : int
-        How often a gateway has taken leave to send it once more.
+        Number of claimed trials.
     at_ms : int
-        When the last did, on the store's steady clock.
+        When the last trial was claimed, on the store's monotonic clock.
     version : int
-        The version of the row, 0 for no row.
+        Version of the row, 0 if there is none.
 
     """
 
--- a/seampond/quarantine/quarantine.py
+++ b/seampond/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests that end their servers from ending more of them."""
+"""Quarantine of requests that crash the servers that run them."""
 
 import asyncio
 import logging
@@ -16,21 +16,21 @@
 from seampond.quarantine.suspects import QUARANTINE_CRASHES, Suspects
 from seampond.quarantine.trials import Trials
 
-# How long a copy waits for the one that is under way, as a part of the target.
-_PATIENCE = 0.21
-# A server may end under a run that we gave up shortly before.
-_LEFT_MS = 1000
-_LEFT_MAX = 64
-# When to come back where nothing tells when the next trial may be.
-_NEVER_MS = 10 * MS_PER_MINUTE
-_NOT_READY_MS = 500
+# How long a duplicate waits for the active one, as a part of the target.
+_DUPLICATE_WAIT_PART = 0.21
+# A server may still crash under a run for this long after it was abandoned.
+_ABANDONED_MS = 1000
+_ABANDONED_MAX = 64
+# Retry-After when no further trial is planned.
+_NO_TRIAL_RETRY_MS = 10 * MS_PER_MINUTE
+_NOT_READY_RETRY_MS = 500
 _STEP = 'quarantine'
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonedRun:
-    """A run that we gave up, whose server may still be at work on it."""
+    """A run that this gateway gave up while the server may continue it."""
 
     request: int
     incarnation: int
@@ -39,24 +39,23 @@
 
 
 class Quarantine:
-    """Decides whether a request may be sent, by the servers that it ended.
+    """Decides whether a request may be sent, given the servers it crashed.
 
     Explanation
     -----------
-    A request under which no server has ended is sent as ever.  After one end
-    only one copy of it at a time is sent by each gateway, so that a caller
-    that comes with many does not end as many servers; after two it is sent
-    on trial only, by one gateway at a time and a few times in all.  Its first
-    good answer clears it.
+    After one crash each gateway sends only one copy of a request at a time.
+    After two the request is quarantined: it is sent on trial only, by one
+    gateway at a time and a few times in total.  A successful response clears
+    it.
 
     Parameters
     ----------
     hash_name : Callable[[str], int]
-        Gives the key by which gateways tell of a server's life.
+        Returns the key of a server incarnation.
     notify_peers : Callable[[], None]
-        Called when the others should hear of new evidence at once.
+        Called to report new evidence to the other gateways without delay.
     count_trial : Callable[[str], None]
-        Counts a trial that was wanted, by whether leave was given.
+        Counts requested trials by whether they were permitted.
 
     """
 
@@ -69,7 +68,7 @@
         count_trial: Callable[[str], None],
         clock: Clock,
     ) -> None:
-        """Start with nothing under way."""
+        """Start without active requests."""
         self.suspects = suspects
         self.trials = trials
         self._hash_name = hash_name
@@ -78,11 +77,11 @@
         self._clock = clock
         self._active: Counter[int] = Counter()
         self._copy_finished = asyncio.Event()
-        self._abandoned_runs: deque[AbandonedRun] = deque(maxlen=_LEFT_MAX)
+        self._abandoned_runs: deque[AbandonedRun] = deque(maxlen=_ABANDONED_MAX)
         self._lift_tasks: set[asyncio.Task[None]] = set()
 
     def is_quarantined(self, job: Job) -> bool:
-        """Tell whether a request may be sent on trial only."""
+        """Return True if a request may be sent on trial only."""
         request = job.fingerprint
         crash_count = self.suspects.count_crashes(request)
         return crash_count >= QUARANTINE_CRASHES or self.trials.is_quarantined(
@@ -90,26 +89,29 @@
         )
 
     def may_send(self, job: Job) -> bool:
-        """Tell whether a request may be sent now, asked once more."""
+        """Return True if a request is not quarantined or is on trial."""
         return job.is_trial or not self.is_quarantined(job)
 
     def check(self, job: Job) -> None:
-        """Note how suspect a request is, before a place is looked for.
+        """Set the job's crash count and refuse what may not be sent now.
 
         Raises
         ------
         Refusal
-            If it may not be sent for now; it gets the final answer at once.
+            If the request is quarantined and no trial is due, or if the
+            trials are not loaded yet.
 
         """
         if not self.trials.is_loaded:
             raise Refusal(
-                Cause.not_ready, step=_STEP, retry_after_ms=_NOT_READY_MS
+                Cause.not_ready,
+                step=_STEP,
+                retry_after_ms=_NOT_READY_RETRY_MS,
             )
         job.crash_count = self.suspects.count_crashes(job.fingerprint)
-        is_under_way = self._active[job.fingerprint] > 0
+        has_active_copy = self._active[job.fingerprint] > 0
         job.is_concurrent_duplicate = (
-            is_under_way
+            has_active_copy
             and not self.suspects.had_recent_success(job.fingerprint)
         )
         if self.may_send(job):
@@ -120,7 +122,7 @@
 
     @asynccontextmanager
     async def admit(self, job: Job) -> AsyncIterator[None]:
-        """Let a request be sent until the end of the `with`.
+        """Admit a request, on trial if needed, for the `with` block.
 
         Raises
         ------
@@ -132,33 +134,33 @@
         await self._wait_for_copies(job)
         if not self.may_send(job):
             await self._claim_trial(job)
-        sends = job.attempts
+        attempts_before = job.attempts
         self._active[request] += 1
         try:
             yield
         finally:
-            # A trial that reached no server is not used up.
-            job.is_trial = job.is_trial and job.attempts == sends
+            # A trial that was not sent can still be used.
+            job.is_trial = job.is_trial and job.attempts == attempts_before
             self._release(request)
 
     def apply_reports(
         self, crashes: Iterable[CrashReport], successes: Mapping[int, int]
     ) -> None:
-        """Take what another gateway tells."""
+        """Apply the crashes and successes in another gateway's heartbeat."""
         self.suspects.apply_reports(crashes, successes)
         self.trials.forget(successes)
 
     def record_crash(self, job: Job, server: Server, started_ms: int) -> None:
-        """Note that a connection broke with a request on it."""
+        """Record that a connection broke during a run of a request."""
         self._add_crash(
             job.fingerprint, self._hash_name(server.incarnation), started_ms
         )
         self.record_server_exit(server)
 
     def record_server_exit(self, server: Server) -> None:
-        """Note that a server has ended: runs given up shortly before count."""
+        """Record that a server exited, also under recently abandoned runs."""
         incarnation = self._hash_name(server.incarnation)
-        oldest_ms = self._clock.now() - _LEFT_MS
+        oldest_ms = self._clock.now() - _ABANDONED_MS
         for run in list(self._abandoned_runs):
             if run.at_ms < oldest_ms:
                 self._abandoned_runs.remove(run)
@@ -169,7 +171,7 @@
     def record_abandoned_run(
         self, job: Job, server: Server, started_ms: int
     ) -> None:
-        """Note that a run was given up while its server was at work."""
+        """Record that a run was abandoned while the server worked on it."""
         incarnation = self._hash_name(server.incarnation)
         now_ms = self._clock.now()
         self._abandoned_runs.append(
@@ -177,19 +179,19 @@
         )
 
     def record_success(self, job: Job) -> None:
-        """Note that a server has answered a request and lives."""
+        """Record a successful response and lift the quarantine if any."""
         is_cleared = self.suspects.record_success(job.fingerprint)
         if not is_cleared and not self.trials.is_quarantined(job.fingerprint):
             return
         self._notify_peers()
         if self.trials.is_quarantined(job.fingerprint):
             _logger.info(
-                'request out of quarantine',
+                'request released from quarantine',
                 extra={'fingerprint': format_fingerprint(job.fingerprint)},
             )
-            drop = asyncio.create_task(self.trials.drop(job.fingerprint))
-            self._lift_tasks.add(drop)
-            drop.add_done_callback(self._lift_tasks.discard)
+            task = asyncio.create_task(self.trials.drop(job.fingerprint))
+            self._lift_tasks.add(task)
+            task.add_done_callback(self._lift_tasks.discard)
 
     def _add_crash(
         self, request: int, incarnation: int, started_ms: int
@@ -202,7 +204,7 @@
         self._notify_peers()
         if crash_count >= QUARANTINE_CRASHES:
             _logger.warning(
-                'request in quarantine',
+                'request quarantined',
                 extra={
                     'fingerprint': format_fingerprint(request),
                     'ends': crash_count,
@@ -213,27 +215,29 @@
         self._active[request] -= 1
         if not self._active[request]:
             self._active.pop(request)
-        # Who waits for a copy looks again; who comes later waits anew.
+        # Wakes the waiters; later ones wait on a new event.
         self._copy_finished.set()
         self._copy_finished = asyncio.Event()
 
     async def _wait_for_copies(self, job: Job) -> None:
-        """Wait while a copy of a request under which a server ended is open.
+        """Wait while another copy of a suspect request is active.
 
         Raises
         ------
         Refusal
-            If that takes too long.
+            If the wait times out.
 
         """
         request = job.fingerprint
-        until_ms = self._clock.now() + _PATIENCE * job.route.target_ms
+        deadline_ms = (
+            self._clock.now() + _DUPLICATE_WAIT_PART * job.route.target_ms
+        )
         while self._active[request] and self._allows_one_copy(request):
-            left_ms = until_ms - self._clock.now()
-            if left_ms <= 0:
+            remaining_ms = deadline_ms - self._clock.now()
+            if remaining_ms <= 0:
                 raise self._refuse(job)
             with suppress(TimeoutError):
-                async with asyncio.timeout(left_ms / MS_PER_SECOND):
+                async with asyncio.timeout(remaining_ms / MS_PER_SECOND):
                     await self._copy_finished.wait()
 
     def _allows_one_copy(self, request: int) -> bool:
@@ -241,13 +245,13 @@
         return crash_count > 0 and not self.suspects.had_success(request)
 
     async def _claim_trial(self, job: Job) -> None:
-        is_ours = await self.trials.claim(job.fingerprint)
-        self._count_trial('given' if is_ours else 'refused')
-        if not is_ours:
+        is_claimed = await self.trials.claim(job.fingerprint)
+        self._count_trial('given' if is_claimed else 'refused')
+        if not is_claimed:
             raise self._refuse(job)
         job.is_trial = True
         _logger.info(
-            'request on trial',
+            'trial of a quarantined request',
             extra={
                 'request': job.request_id.decode('latin-1'),
                 'fingerprint': format_fingerprint(job.fingerprint),
@@ -256,5 +260,5 @@
 
     def _refuse(self, job: Job) -> Refusal:
         wait_ms = self.trials.wait_ms(job.fingerprint)
-        retry_ms = _NEVER_MS if wait_ms is None else max(1, wait_ms)
+        retry_ms = _NO_TRIAL_RETRY_MS if wait_ms is None else max(1, wait_ms)
         return Refusal(Cause.quarantined, step=_STEP, retry_after_ms=retry_ms)
--- a/seampond/quarantine/suspects.py
+++ b/seampond/quarantine/suspects.py
@@ -1,7 +1,7 @@
-"""Which requests may be the cause that servers end: the evidence.
+"""Evidence of which requests crash servers.
 
-Of the ten requests that a server cuts when it ends, one may be the cause.  It
-is the one under which the next server ends too, and it never gets an answer.
+A crash interrupts all requests of a server.  The one that causes it also
+crashes the next server and never succeeds.
 """
 
 import itertools
@@ -12,36 +12,35 @@
 from seampond.clock import MS_PER_DAY, MS_PER_MINUTE, Clock
 from seampond.quarantine.models import Crash, CrashReport
 
-# From so many ends on a request is sent on trial only.  One end cuts sound
-# requests too; of those two servers in a row have ended under few.
+# Number of crashes that quarantine a request.  A single crash also interrupts
+# harmless requests.
 QUARANTINE_CRASHES = 2
-# A good answer within this time before an end: the request is sound at least
-# now and then.
-_PROVEN_MS = 10_000
-_PROVEN_MAX = 2048
-# Good answers are told where somebody may hold ends against the request.
-_TOLD_MS = 5000
-_TOLD_MAX = 64
-_ENDS_KEPT = 4
+# A success at most this long before a crash counts in favor of a request.
+_RECENT_SUCCESS_MS = 10_000
+_SUCCESSES_MAX = 2048
+# How long crashes and cleared requests are repeated in heartbeats.
+_REPORT_MS = 5000
+_REPORTS_MAX = 64
+_CRASHES_PER_SUSPECT = 4
 _SUSPECTS_MAX = 1024
 _CLEARED_MAX = 1024
-_LOOK_MS = 1000
-_FORGET_MS = 10 * MS_PER_MINUTE
-_FORGET_QUARANTINED_MS = MS_PER_DAY
+_CLEANUP_INTERVAL_MS = 1000
+_SUSPECT_TTL_MS = 10 * MS_PER_MINUTE
+_QUARANTINED_TTL_MS = MS_PER_DAY
 
 
 @dataclass(slots=True)
 class Suspect:
-    """A request under which a server has ended since its last good answer.
+    """A request that a server crashed under since its last success.
 
     Parameters
     ----------
     crashes : dict[int, Crash]
-        By key of the server's life.
+        Crashes by key of the server incarnation.
     observed : set[int]
-        The lives whose ends we have seen ourselves.
+        Incarnations whose crash this gateway observed itself.
     had_success : bool
-        Whether it had got a good answer shortly before an end.
+        Whether the request succeeded shortly before a crash.
 
     """
 
@@ -51,29 +50,28 @@
 
     @property
     def crash_count(self) -> int:
-        """How many ends count against it.
+        """Number of crashes that count against the request.
 
         Explanation
         -----------
-        Many copies of a popular request run at any moment, so a hall that
-        loses its power ends several servers under it at once.  Of a request
-        that had good answers only an end counts whose run began after the end
-        before was seen; of any other, each end.
+        For a request that had succeeded, crashes of concurrent runs count
+        once: a power failure of a hall crashes many servers at once under a
+        popular request.
         """
         if not self.had_success:
             return len(self.crashes)
-        counted = 0
-        seen_ms = None
+        count = 0
+        last_counted_ms = None
         for crash in sorted(
-            self.crashes.values(), key=lambda known: known.at_ms
+            self.crashes.values(), key=lambda crash: crash.at_ms
         ):
-            if seen_ms is None or crash.started_ms > seen_ms:
-                counted += 1
-                seen_ms = crash.at_ms
-        return counted
+            if last_counted_ms is None or crash.started_ms > last_counted_ms:
+                count += 1
+                last_counted_ms = crash.at_ms
+        return count
 
     def drop_redundant(self) -> None:
-        """Drop an end without which as many strikes are left, or the first."""
+        """Drop a crash that does not change the count, else the first."""
         crash_count = self.crash_count
         for incarnation, crash in list(self.crashes.items()):
             self.crashes.pop(incarnation)
@@ -83,18 +81,18 @@
         self.crashes.pop(next(iter(self.crashes)))
 
     @property
-    def last_ms(self) -> int:
-        """When the last end was seen."""
+    def last_crash_ms(self) -> int:
+        """Time of the latest crash."""
         return max(crash.at_ms for crash in self.crashes.values())
 
 
 class Suspects:
-    """The evidence against requests, of all gateways together.
+    """The evidence against requests, merged from all gateways.
 
     Explanation
     -----------
-    A union of ends and the latest good answer of each request, so it does not
-    matter in which order, how often or through whom a word of it comes.
+    Crashes are merged as a set and successes by the latest, so reports may
+    arrive in any order, repeatedly and from any gateway.
 
     Examples
     --------
@@ -112,74 +110,74 @@
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with nothing against anybody."""
+        """Start without suspects."""
         self._clock = clock
         self._suspects: dict[int, Suspect] = {}
-        # When a request last got a good answer, the latest at the end.
-        self._good_ms: OrderedDict[int, int] = OrderedDict()
+        # Time of the last success by request, the latest at the end.
+        self._success_ms: OrderedDict[int, int] = OrderedDict()
         self._cleared_ms: dict[int, int] = {}
-        self._forget_ms = 0
+        self._next_cleanup_ms = 0
 
     def __len__(self) -> int:
-        """Give how many requests there is something against."""
+        """Return the number of suspects."""
         return len(self._suspects)
 
     def count_crashes(self, request: int) -> int:
-        """Give how many ends count against a request."""
+        """Return how many crashes count against a request."""
         suspect = self._suspects.get(request)
         return suspect.crash_count if suspect else 0
 
     def had_success(self, request: int) -> bool:
-        """Tell whether a request had a good answer shortly before an end."""
+        """Return True if a request succeeded shortly before a crash."""
         suspect = self._suspects.get(request)
         return suspect is not None and suspect.had_success
 
     def had_recent_success(self, request: int) -> bool:
-        """Tell whether a request had a good answer of late."""
-        good_ms = self._good_ms.get(request)
-        if good_ms is None:
+        """Return True if a request succeeded recently."""
+        success_ms = self._success_ms.get(request)
+        if success_ms is None:
             return False
-        return self._clock.now() - good_ms <= _PROVEN_MS
+        return self._clock.now() - success_ms <= _RECENT_SUCCESS_MS
 
     def record_crash(
         self, request: int, incarnation: int, started_ms: int
     ) -> None:
-        """Note that a server ended under a request of ours."""
+        """Record that a server crashed under a request of this gateway."""
         crash = Crash(incarnation, started_ms, self._clock.now())
         self._add(request, crash, had_success=self.had_recent_success(request))
         suspect = self._suspects.get(request)
         if suspect is not None:
             suspect.observed.add(incarnation)
             suspect.observed.intersection_update(suspect.crashes)
-        self._forget()
+        self._remove_expired()
 
     def record_success(self, request: int) -> bool:
-        """Note a good answer; tell whether it clears the request."""
-        self._good_ms[request] = self._clock.now()
-        self._good_ms.move_to_end(request)
-        if len(self._good_ms) > _PROVEN_MAX:
-            self._good_ms.popitem(last=False)
+        """Record a success; return True if it clears the request."""
+        self._success_ms[request] = self._clock.now()
+        self._success_ms.move_to_end(request)
+        if len(self._success_ms) > _SUCCESSES_MAX:
+            self._success_ms.popitem(last=False)
         if request not in self._suspects:
             return False
-        self._note_cleared(request, self._clock.now())
+        self._record_cleared(request, self._clock.now())
         return self._clear(request, self._clock.now())
 
     def list_crash_reports(self) -> list[CrashReport]:
-        """Give what the others should know.
+        """Return the crashes to report in the next heartbeat.
 
         Explanation
         -----------
-        All that is known of requests in quarantine first, for whoever was
-        cut off, or has just started, when it was first told; and our own of
-        late.
+        Crashes of quarantined requests come first and are repeated as long as
+        they are known, for gateways that missed the first report.  Others are
+        reported for a while by the gateway that observed them.
         """
         now_ms = self._clock.now()
-        by_strikes = sorted(
+        by_crash_count = sorted(
             self._suspects.items(),
-            key=lambda known: known[1].crash_count,
+            key=lambda entry: entry[1].crash_count,
             reverse=True,
         )
-        told = [
+        reports = [
             CrashReport(
                 request,
                 crash.incarnation,
@@ -187,96 +185,98 @@
                 max(0, now_ms - crash.at_ms),
                 suspect.had_success,
             )
-            for request, suspect in by_strikes
+            for request, suspect in by_crash_count
             for crash in suspect.crashes.values()
             if suspect.crash_count >= QUARANTINE_CRASHES
             or (
                 crash.incarnation in suspect.observed
-                and now_ms - crash.at_ms < _TOLD_MS
+                and now_ms - crash.at_ms < _REPORT_MS
             )
         ]
-        return told[:_TOLD_MAX]
+        return reports[:_REPORTS_MAX]
 
     def list_cleared(self) -> dict[int, int]:
-        """Give who was cleared of late, and how long ago."""
+        """Return the age of the success of recently cleared requests."""
         now_ms = self._clock.now()
-        latest = itertools.islice(reversed(self._cleared_ms.items()), _TOLD_MAX)
+        latest = itertools.islice(
+            reversed(self._cleared_ms.items()), _REPORTS_MAX
+        )
         return {
             request: now_ms - at_ms
             for request, at_ms in latest
-            if now_ms - at_ms < _TOLD_MS
+            if now_ms - at_ms < _REPORT_MS
         }
 
     def apply_reports(
         self, crashes: Iterable[CrashReport], successes: Mapping[int, int]
     ) -> None:
-        """Take what another gateway tells."""
+        """Apply crashes and ages of successes from another gateway."""
         now_ms = self._clock.now()
-        for told in crashes:
+        for report in crashes:
             crash = Crash(
-                told.incarnation,
-                now_ms - told.run_age_ms,
-                now_ms - told.crash_age_ms,
+                report.incarnation,
+                now_ms - report.run_age_ms,
+                now_ms - report.crash_age_ms,
             )
-            self._add(told.request, crash, had_success=told.had_success)
-        for request, ago_ms in successes.items():
-            self._note_cleared(request, now_ms - ago_ms)
-            self._clear(request, now_ms - ago_ms)
-        self._forget()
+            self._add(report.request, crash, had_success=report.had_success)
+        for request, age_ms in successes.items():
+            self._record_cleared(request, now_ms - age_ms)
+            self._clear(request, now_ms - age_ms)
+        self._remove_expired()
 
     def _add(self, request: int, crash: Crash, *, had_success: bool) -> None:
-        good_ms = max(
-            self._good_ms.get(request, crash.at_ms - 1),
+        success_ms = max(
+            self._success_ms.get(request, crash.at_ms - 1),
             self._cleared_ms.get(request, crash.at_ms - 1),
         )
-        if good_ms >= crash.at_ms:
+        if success_ms >= crash.at_ms:
             return
         suspect = self._suspects.setdefault(request, Suspect())
         suspect.had_success = suspect.had_success or had_success
         known = suspect.crashes.get(crash.incarnation)
         if known is None or crash.at_ms < known.at_ms:
             suspect.crashes[crash.incarnation] = crash
-        if len(suspect.crashes) > _ENDS_KEPT:
+        if len(suspect.crashes) > _CRASHES_PER_SUSPECT:
             suspect.drop_redundant()
 
-    def _note_cleared(self, request: int, good_ms: int) -> None:
-        """Remember a good answer: word of an end before it may come late."""
-        known_ms = self._cleared_ms.pop(request, good_ms)
-        self._cleared_ms[request] = max(known_ms, good_ms)
+    def _record_cleared(self, request: int, success_ms: int) -> None:
+        """Record a success, since an earlier crash may be reported late."""
+        known_ms = self._cleared_ms.pop(request, success_ms)
+        self._cleared_ms[request] = max(known_ms, success_ms)
         if len(self._cleared_ms) > _CLEARED_MAX:
             self._cleared_ms.pop(next(iter(self._cleared_ms)))
 
-    def _clear(self, request: int, good_ms: int) -> bool:
-        """Drop the ends before a good answer; tell whether none is left."""
+    def _clear(self, request: int, success_ms: int) -> bool:
+        """Drop crashes before a success; return True if none are left."""
         suspect = self._suspects.get(request)
         if suspect is None:
             return False
         suspect.crashes = {
             incarnation: crash
             for incarnation, crash in suspect.crashes.items()
-            if crash.at_ms > good_ms
+            if crash.at_ms > success_ms
         }
         if suspect.crashes:
             return False
         self._suspects.pop(request)
         return True
 
-    def _forget(self) -> None:
-        """Drop what is old, and the least suspect where there are too many."""
+    def _remove_expired(self) -> None:
+        """Remove old suspects, and those with few crashes beyond the cap."""
         now_ms = self._clock.now()
-        if now_ms < self._forget_ms:
+        if now_ms < self._next_cleanup_ms:
             return
-        self._forget_ms = now_ms + _LOOK_MS
+        self._next_cleanup_ms = now_ms + _CLEANUP_INTERVAL_MS
         for request, suspect in list(self._suspects.items()):
-            is_held = suspect.crash_count >= QUARANTINE_CRASHES
-            kept_ms = _FORGET_QUARANTINED_MS if is_held else _FORGET_MS
-            if now_ms - suspect.last_ms > kept_ms:
+            is_quarantined = suspect.crash_count >= QUARANTINE_CRASHES
+            ttl_ms = _QUARANTINED_TTL_MS if is_quarantined else _SUSPECT_TTL_MS
+            if now_ms - suspect.last_crash_ms > ttl_ms:
                 self._suspects.pop(request)
-        over = len(self._suspects) - _SUSPECTS_MAX
-        if over > 0:
-            by_weight = sorted(
+        excess = len(self._suspects) - _SUSPECTS_MAX
+        if excess > 0:
+            by_crash_count = sorted(
                 self._suspects,
-                key=lambda known: self._suspects[known].crash_count,
+                key=lambda key: self._suspects[key].crash_count,
             )
-            for request in by_weight[:over]:
+            for request in by_crash_count[:excess]:
                 self._suspects.pop(request)
--- a/seampond/quarantine/trials.py
+++ b/seampond/quarantine/trials.py
@@ -1,9 +1,8 @@
-"""Leave to send a quarantined request once more, given by the store.
+"""Trials of quarantined requests, coordinated through the store.
 
-A request that ends its servers comes to any gateway, and each of them may be
-cut off, frozen or started anew.  So how often it was tried is one row of the
-store, written on the condition that it has not changed: of all gateways one
-has leave at a time, and what was tried before a restart is known after it.
+The number of trials is a row of the store that is written with
+compare-and-swap, so only one gateway at a time is permitted a trial, and
+trials are remembered across restarts.
 """
 
 import asyncio
@@ -18,47 +17,46 @@
 from seampond.quarantine.models import TrialRow
 from seampond.watches import StoreClock, era_of
 
-# How long after the trial before it each may be made, the first at once: a
-# sound request that two servers have ended under is served by it.  More than
-# these may not reach servers once it is known to end them.
+# Pause before each trial since the one before it.  There are no further
+# trials, which bounds the servers that a request can crash.
 TRIAL_PAUSES_MS = (0, 10 * MS_PER_SECOND, 10 * MS_PER_MINUTE)
-# After a call that failed none is made for a while: each may take a second.
-_FAILED_PAUSE_MS = 1000
+# Pause after a failed call to the store.
+_FAILURE_PAUSE_MS = 1000
 _ROWS_MAX = 1024
 _logger = logging.getLogger(__name__)
 
 
 class TrialTable(Protocol):
-    """The table of trials, with rows by fingerprint."""
+    """The store's table of trials, with rows by fingerprint."""
 
     @property
     def era(self) -> int:
-        """How often the store was restored, as far as known."""
+        """Number of restores of the store, as far as known."""
 
     async def read_trials(self) -> Mapping[int, TrialRow]:
         """Read all rows."""
 
     async def write_trial(self, request: int, row: TrialRow) -> None:
-        """Write a row if the one that is there has this row's version."""
+        """Write a row if the stored one has the same version."""
 
     async def drop_trial(self, request: int, version: int) -> None:
-        """Remove a row if it still has this version."""
+        """Remove a row if it has this version."""
 
 
 class Trials:
-    """Takes leave for trials, one gateway at a time.
+    """Claims trials of quarantined requests in the store.
 
     Parameters
     ----------
     store_clock : StoreClock
-        Sets the store's clock against ours.
+        Converts between the store's clock and the local one.
 
     Attributes
     ----------
     table : TrialTable or None
-        The store's table, None while there is none: no leave is given.
+        The store's table, None while not connected: no trial is permitted.
     is_loaded : bool
-        Whether what the store holds was read, or need not be waited for.
+        Whether the table was read or need not be waited for.
 
     """
 
@@ -74,14 +72,14 @@
         self._lock = asyncio.Lock()
 
     def is_quarantined(self, request: int) -> bool:
-        """Tell whether the store holds a row of a request, as far as known."""
+        """Return True if the store is known to hold a row for a request."""
         return request in self._rows
 
     def wait_ms(self, request: int) -> int | None:
-        """Give how long until the next trial may be, None for never."""
+        """Return the time until the next trial, None if none is left."""
         now_ms = self._clock.now()
         if request in self._claimed:
-            return _FAILED_PAUSE_MS
+            return _FAILURE_PAUSE_MS
         row = self._row(request)
         if row.trials >= len(TRIAL_PAUSES_MS):
             return None
@@ -92,7 +90,7 @@
         return max(0, due_ms - now_ms, self._failed_until_ms - now_ms)
 
     async def claim(self, request: int) -> bool:
-        """Take leave to send a request once; tell whether it is ours."""
+        """Claim a trial for this gateway; return True if it succeeds."""
         if self.table is None or self.wait_ms(request) != 0:
             return False
         self._claimed.add(request)
@@ -103,7 +101,7 @@
             self._claimed.discard(request)
 
     async def drop(self, request: int) -> None:
-        """Lift the quarantine of a request that got a good answer."""
+        """Lift the quarantine of a request after a success."""
         row = self._rows.pop(request, None)
         if row is None or self.table is None:
             return
@@ -120,17 +118,17 @@
             )
 
     def forget(self, requests: Iterable[int]) -> None:
-        """Drop what is known of rows that another gateway has removed."""
+        """Drop the known rows of requests that other gateways cleared."""
         for request in requests:
             self._rows.pop(request, None)
 
     async def read(self) -> None:
-        """Learn what the store holds, as of now.
+        """Read the table from the store.
 
         Raises
         ------
         PlatformError
-            If it cannot be read.
+            If the table cannot be read.
 
         """
         if self.table is not None:
@@ -143,28 +141,27 @@
     def _find_lost_rows(
         self, rows: Mapping[int, TrialRow], era: int
     ) -> dict[int, TrialRow]:
-        """Give the rows of which a restore of the store has lost something.
+        """Return the known rows that a restore of the store has set back.
 
         Explanation
         -----------
-        What was tried stays tried: without them a request would get leave
-        anew for each restore, and end a server each time.  The next trial
-        writes its row again.
+        Trials must stay counted, else each restore would permit more of them.
+        The next trial writes its row again.
         """
         lost: dict[int, TrialRow] = {}
         for request, known in self._rows.items():
-            told = rows.get(request, TrialRow())
-            if era_of(known.version) < era and told.trials < known.trials:
-                lost[request] = replace(known, version=told.version)
+            stored = rows.get(request, TrialRow())
+            if era_of(known.version) < era and stored.trials < known.trials:
+                lost[request] = replace(known, version=stored.version)
         return lost
 
     def _row(self, request: int) -> TrialRow:
-        """Give what is known of the trials of a request, of a day at most.
+        """Return the known row of a request, with no trials after a day.
 
         Explanation
         -----------
-        Nothing in the store runs out by itself, and servers and requests
-        are mended: a day later it is tried as at first.
+        Rows of the store do not expire, while the fault that caused the
+        crashes may have been fixed.
         """
         row = self._rows.get(request, TrialRow())
         if not row.trials:
@@ -185,7 +182,7 @@
         except PlatformError as error:
             self._record_failure(request, error)
             return False
-        # The version is learned with the next word of the store.
+        # Reads the version that the store assigned.
         await self._refresh(request)
         return True
 
@@ -196,10 +193,10 @@
             self._record_failure(request, error)
 
     def _record_failure(self, request: int, error: PlatformError) -> None:
-        """Let a while pass: the write may be done without an answer."""
-        self._failed_until_ms = self._clock.now() + _FAILED_PAUSE_MS
+        """Pause further trials, since a failed write may still be applied."""
+        self._failed_until_ms = self._clock.now() + _FAILURE_PAUSE_MS
         _logger.warning(
-            'no leave for a trial',
+            'trial not permitted: call to the store failed',
             extra={
                 'fingerprint': format_fingerprint(request),
                 'reason': error.message,
