--- a/seampond/forwarding/availability.py
+++ b/seampond/forwarding/availability.py
@@ -98,7 +98,7 @@
 
         """
         now_ms = self._clock.now()
-        # A limit of 0 has no permits to reserve.
+        # Under a limit of 0, permits are issued only to probe the limit.
         limited = [
             backend
             for backend in backends
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -134,7 +134,7 @@
         return self._by_pool.get(pool, [])
 
     def all_in_pool(self, pool: str) -> list[Backend]:
-        """Return all servers of a pool, with those that only finish requests."""
+        """Return all servers of a pool, also those that only finish work."""
         return [
             backend
             for backend in self._by_id.values()
--- a/seampond/forwarding/tests/test_availability.py
+++ b/seampond/forwarding/tests/test_availability.py
@@ -1,4 +1,4 @@
-"""How requests wait for servers whose limits let few of them in."""
+"""How requests wait for servers with limits."""
 
 import asyncio
 import unittest
@@ -26,185 +26,187 @@
 _SOON_S = 0.05
 
 
-class _Giver:
-    """Gives permits when a test says so."""
+class _FakePermits:
+    """Issue permits when a test says so."""
 
     def __init__(self) -> None:
-        self.given = 0
-        self.opens_at_ms = 0
-        self.asked: list[str] = []
-        self.reserving: list[str] = []
-        self.returns_ms: dict[str, int] = {}
+        self.permit_count = 0
+        self.permit_ms = 0
+        self.requested: list[str] = []
+        self.reservations: list[str] = []
+        self.retry_ms: dict[str, int] = {}
 
     def may_send(self, backend: Backend, *, for_retry: bool) -> bool:
-        """Whether there is one."""
-        return self.given > 0
+        """Return True if there is a permit."""
+        return self.permit_count > 0
 
     def acquire(self, backend: Backend, *, for_retry: bool) -> Permit:
-        """Take one."""
-        self.given -= 1
+        """Return a permit."""
+        self.permit_count -= 1
         return Permit(0, 1 << 60)
 
     def request(
         self, backend: Backend, max_wait_ms: int, *, for_retry: bool
     ) -> None:
-        """Note who is asked, and wait for the answer."""
-        self.asked.append(backend.server.id)
+        """Record the request as pending."""
+        self.requested.append(backend.server.id)
         backend.signals.limit.requested_ms = Clock().now()
 
     def available_ms(self, backend: Backend, *, for_retry: bool) -> int:
-        """Give what the test says."""
-        return self.opens_at_ms
+        """Return what the test has set."""
+        return self.permit_ms
 
     def probe_limit(self, backend: Backend) -> None:
-        """Do not."""
+        """Do nothing."""
 
     async def reserve(self, backend: Backend) -> int | None:
-        """Give what the test says."""
-        self.reserving.append(backend.server.id)
-        return self.returns_ms.get(backend.server.id)
+        """Return what the test has set."""
+        self.reservations.append(backend.server.id)
+        return self.retry_ms.get(backend.server.id)
 
 
-class OpeningsTest(unittest.IsolatedAsyncioTestCase):
-    """One pool of servers, of which some name limits."""
+class AvailabilityTest(unittest.IsolatedAsyncioTestCase):
+    """One pool of servers, of which some have limits."""
 
     def setUp(self) -> None:
-        """Know two servers with limits."""
+        """Start with two servers with limits."""
         self.clock = Clock()
         self.backends = Backends(self.clock, NAMES.request_id)
         self.backends.replace_all(build_server(f'i-{one}') for one in (1, 2))
         self.scheduler = Scheduler(
             self.backends, ZONE, self.clock, lambda: 1, build_promises()
         )
-        self.giver = _Giver()
-        self.scheduler.availability.permits = self.giver
+        self.permits = _FakePermits()
+        self.scheduler.availability.permits = self.permits
         for backend in self.backends:
-            self.say(backend, ServerSignals(limit=2))
+            self.signal(backend, ServerSignals(limit=2))
 
-    def say(self, backend: Backend, words: ServerSignals) -> None:
-        """Let a server say something of itself."""
-        self.backends.apply_signals(backend, words, self.clock.now())
+    def signal(self, backend: Backend, signals: ServerSignals) -> None:
+        """Apply the signals of a response."""
+        self.backends.apply_signals(backend, signals, self.clock.now())
 
-    def place(self, request_id: str, **changes: int) -> 'asyncio.Task[Backend]':
-        """Let a request wait for a place."""
+    def schedule(
+        self, request_id: str, **changes: int
+    ) -> 'asyncio.Task[Backend]':
+        """Schedule a request."""
         job = build_job(request_id, **changes)
         return asyncio.create_task(self.scheduler.acquire(job, set()))
 
-    def answer(self, given: int) -> None:
-        """Let the owner answer all that were asked."""
+    def answer(self, permit_count: int) -> None:
+        """Answer all pending requests for permits."""
         for backend in self.backends:
             backend.signals.limit.requested_ms = None
-        self.giver.given = given
+        self.permits.permit_count = permit_count
         self.scheduler.process_queue(POOL)
 
     async def check_refused(self, task: 'asyncio.Task[Backend]') -> Refusal:
-        """Check that a request was turned away for the limits, and soon."""
+        """Check that a request is soon refused because of limits."""
         with self.assertRaises(Refusal) as caught:
             async with asyncio.timeout(_SOON_S):
                 await task
         self.assertIs(caught.exception.cause, Cause.servers_limited)
         return caught.exception
 
-    async def test_limited_servers_are_no_room(self) -> None:
-        """For what a workspace asks beyond its rate."""
+    async def test_limited_servers_are_no_spare_capacity(self) -> None:
+        """For what a workspace requests beyond its rate."""
         self.assertFalse(self.scheduler.has_spare_capacity(POOL))
-        # Later than the word of the limit.
+        # Later than the report of the limit.
         await asyncio.sleep(_SOON_S)
-        self.say(pick(self.backends, 'i-1'), ServerSignals())
+        self.signal(pick(self.backends, 'i-1'), ServerSignals())
         self.assertTrue(self.scheduler.has_spare_capacity(POOL))
 
-    async def test_each_that_waits_asks_once(self) -> None:
-        """As long as no answer has come."""
-        tasks = [self.place(f'r{one}') for one in range(3)]
+    async def test_each_waiter_requests_one_permit(self) -> None:
+        """Guards against another request while the first is pending."""
+        tasks = [self.schedule(f'r{one}') for one in range(3)]
         await asyncio.sleep(_SOON_S)
-        self.assertEqual(sorted(self.giver.asked), ['i-1', 'i-2'])
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
+        self.assertEqual(sorted(self.permits.requested), ['i-1', 'i-2'])
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
         self.answer(0)
         for task in tasks:
             await self.check_refused(task)
 
     async def test_most_urgent_gets_the_permit(self) -> None:
-        """Whoever came first; the other hears when there is one."""
+        """In any order of arrival; the other is refused with a retry time."""
         route = build_route(priority=0)
-        plain = self.place('r1')
+        plain = self.schedule('r1')
         urgent = asyncio.create_task(
             self.scheduler.acquire(build_job('r2', route=route), set())
         )
         await asyncio.sleep(_SOON_S / 2)
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
         self.answer(1)
         await urgent
         refusal = await self.check_refused(plain)
         self.assertGreaterEqual(refusal.retry_after_ms, _LATER_MS - 100)
 
-    async def test_wait_that_cannot_end_is_no_wait(self) -> None:
-        """It is known before that no permit comes in time."""
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
-        await self.check_refused(self.place('r1'))
-        self.assertEqual(self.giver.asked, [])
-
-    async def test_time_to_come_back_is_reserved(self) -> None:
-        """Guards against times that other gateways tell too."""
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
-        self.giver.returns_ms = {'i-1': 700, 'i-2': 700}
-        refusal = await self.check_refused(self.place('r1'))
+    async def test_hopeless_request_is_refused_at_once(self) -> None:
+        """Guards against waiting for a permit that cannot come in time."""
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
+        await self.check_refused(self.schedule('r1'))
+        self.assertEqual(self.permits.requested, [])
+
+    async def test_retry_time_is_reserved(self) -> None:
+        """Guards against times that other gateways assign too."""
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
+        self.permits.retry_ms = {'i-1': 700, 'i-2': 700}
+        refusal = await self.check_refused(self.schedule('r1'))
         self.assertEqual(refusal.retry_after_ms, 700)
-        self.assertEqual(len(self.giver.reserving), 1)
+        self.assertEqual(len(self.permits.reservations), 1)
 
-    async def test_owner_that_is_gone_is_passed_over(self) -> None:
-        """Another server's owner reserves a time."""
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
-        self.giver.returns_ms = {'i-2': 700}
+    async def test_lost_issuer_is_skipped(self) -> None:
+        """Another server's issuer reserves a permit."""
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
+        self.permits.retry_ms = {'i-2': 700}
         for _ in range(10):
-            refusal = await self.check_refused(self.place('r1'))
+            refusal = await self.check_refused(self.schedule('r1'))
             self.assertEqual(refusal.retry_after_ms, 700)
 
-    async def test_no_time_is_asked_for_where_none_is_left(self) -> None:
+    async def test_no_reservation_while_all_are_full(self) -> None:
         """Guards against a message for each caller of a long overload."""
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
         for backend in self.backends:
             backend.signals.limit.reservations_full_until_ms = (
                 self.clock.now() + _LATER_MS
             )
-        refusal = await self.check_refused(self.place('r1'))
+        refusal = await self.check_refused(self.schedule('r1'))
         self.assertEqual(refusal.retry_after_ms, MAX_RETRY_AFTER_MS)
-        self.assertEqual(self.giver.reserving, [])
+        self.assertEqual(self.permits.reservations, [])
 
-    async def test_nothing_is_reserved_at_a_server_that_takes_nothing(
+    async def test_nothing_is_reserved_under_a_limit_of_zero(
         self,
     ) -> None:
-        """Guards against a limit that is over and found out late."""
+        """Guards against delaying the probes that find a lifted limit."""
         await asyncio.sleep(_SOON_S)
         for backend in self.backends:
-            self.say(backend, ServerSignals(limit=0))
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
-        await self.check_refused(self.place('r1'))
-        self.assertEqual(self.giver.reserving, [])
+            self.signal(backend, ServerSignals(limit=0))
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
+        await self.check_refused(self.schedule('r1'))
+        self.assertEqual(self.permits.reservations, [])
 
-    async def test_a_server_without_a_limit_is_waited_for(self) -> None:
-        """It is full, and may have a place in time."""
+    async def test_server_without_a_limit_is_waited_for(self) -> None:
+        """It is full, and may have a free slot in time."""
         self.backends.replace_all(build_server(f'i-{one}') for one in (1, 2, 3))
         full = pick(self.backends, 'i-3')
         full.in_flight = full.server.slots
-        self.giver.opens_at_ms = self.clock.now() + _LATER_MS
-        task = self.place('r1')
+        self.permits.permit_ms = self.clock.now() + _LATER_MS
+        task = self.schedule('r1')
         await asyncio.sleep(_SOON_S)
         self.assertFalse(task.done())
         self.scheduler.release(full)
         self.assertEqual((await task).server.id, 'i-3')
 
-    async def test_rest_goes_beside_a_limit(self) -> None:
-        """Neither a permit nor the end of the rest is enough alone."""
+    async def test_back_off_applies_beside_a_limit(self) -> None:
+        """Neither a permit nor the end of the back-off is enough alone."""
         for backend in self.backends:
-            self.say(backend, ServerSignals(limit=2, backoff_ms=_LATER_MS))
-        self.giver.given = 5
-        await self.check_refused(self.place('r1'))
+            self.signal(backend, ServerSignals(limit=2, backoff_ms=_LATER_MS))
+        self.permits.permit_count = 5
+        await self.check_refused(self.schedule('r1'))
 
-    async def test_server_that_leaves_needs_a_permit_too(self) -> None:
-        """Where all others have gone, for a part of the time to drain."""
+    async def test_draining_server_needs_a_permit_too(self) -> None:
+        """It is used while it drains if no other server is left."""
         self.backends.grace_ms = _LATER_MS
         for backend in self.backends:
-            self.say(backend, ServerSignals(limit=2, is_draining=True))
+            self.signal(backend, ServerSignals(limit=2, is_draining=True))
         job = build_job('r1')
         waiting = asyncio.create_task(self.scheduler.acquire(job, set()))
         await asyncio.sleep(_SOON_S / 2)
@@ -213,10 +215,10 @@
         await waiting
         self.assertIsNotNone(job.permit)
 
-    async def test_request_without_a_limit_has_no_permit(self) -> None:
-        """Nor does it keep one of an earlier place."""
+    async def test_server_without_a_limit_clears_the_permit(self) -> None:
+        """Guards against a permit kept from an earlier server."""
         job = build_job('r1')
-        self.giver.given = 1
+        self.permits.permit_count = 1
         await self.scheduler.acquire(job, set())
         self.assertIsNotNone(job.permit)
         self.backends.replace_all([build_server('i-9')])
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Places on servers, and who waits, goes first or is turned away."""
+"""Slots on servers, and which requests wait, go first or are refused."""
 
 import asyncio
 import unittest
@@ -33,7 +33,7 @@
 def build_scheduler(
     *slots: int, gateways: int = 1, **changes: Any
 ) -> tuple[Scheduler, list[Backend]]:
-    """Give a scheduler before servers with these slots."""
+    """Return a scheduler and its servers with these numbers of slots."""
     names = [f'i-{number}' for number, _ in enumerate(slots)]
     backends = build_backends(
         build_server(name, slots=size, **changes)
@@ -46,10 +46,10 @@
 
 
 class SchedulerTest(unittest.IsolatedAsyncioTestCase):
-    """One queue before some servers."""
+    """One queue for some servers."""
 
-    async def test_places_are_bounded_by_slots(self) -> None:
-        """Beyond the slots a request waits and is turned away in time."""
+    async def test_requests_are_bounded_by_slots(self) -> None:
+        """Guards against overfilled servers and against waits without end."""
         scheduler, _ = build_scheduler(2)
         for _ in range(2):
             await scheduler.acquire(build_job(), set())
@@ -61,8 +61,8 @@
         self.assertGreater(caught.exception.retry_after_ms, 0)
         self.assertEqual(scheduler.waiting, 0)
 
-    async def test_free_place_is_handed_to_the_highest_rank(self) -> None:
-        """The higher rank goes first, whoever came first."""
+    async def test_free_slot_goes_to_highest_tier(self) -> None:
+        """Guards against a queue in order of arrival."""
         scheduler, (backend,) = build_scheduler(1)
         await scheduler.acquire(build_job(route=_SLOW), set())
         served: list[int] = []
@@ -80,8 +80,8 @@
         await asyncio.gather(*tasks)
         self.assertEqual(served, [0, 1, 2])
 
-    async def test_who_was_turned_away_goes_first(self) -> None:
-        """Among equals, whoever came first: it would be lost otherwise."""
+    async def test_retry_goes_before_first_try(self) -> None:
+        """Guards against refusing a caller twice."""
         scheduler, (backend,) = build_scheduler(1)
         await scheduler.acquire(build_job(route=_SLOW), set())
         tasks = [
@@ -99,8 +99,8 @@
         scheduler.release(backend)
         self.assertIs(await tasks[0], backend)
 
-    async def test_broken_stream_goes_first_and_waits_longer(self) -> None:
-        """Its caller has a part already, and the rest would be lost."""
+    async def test_interrupted_stream_goes_first_and_waits_longer(self) -> None:
+        """Guards against losing the rest of a stream that has started."""
         clock = ManualClock(10_000)
         backends = build_backends([build_server('i-0', slots=1)], clock)
         scheduler = Scheduler(
@@ -123,8 +123,8 @@
         scheduler.release(backend)
         self.assertIs(await tasks[1], backend)
 
-    async def test_higher_rank_is_not_shed_while_lower_waits(self) -> None:
-        """With one that gives up, all that rank below it are turned away."""
+    async def test_timeout_sheds_lower_tiers(self) -> None:
+        """Guards against refusing a higher tier while a lower one waits."""
         scheduler, _ = build_scheduler(1)
         await scheduler.acquire(build_job(route=_SLOW), set())
         low = asyncio.create_task(
@@ -138,8 +138,8 @@
             await low
         self.assertEqual(caught.exception.cause, Cause.overload)
 
-    async def test_leave_while_waiting_leaks_no_place(self) -> None:
-        """A caller that leaves as its place comes gives it back."""
+    async def test_cancelled_wait_leaks_no_slot(self) -> None:
+        """Guards against a slot lost when a caller goes as it is assigned."""
         scheduler, (backend,) = build_scheduler(1)
         await scheduler.acquire(build_job(route=_SLOW), set())
         waiting = asyncio.create_task(
@@ -153,8 +153,8 @@
         self.assertEqual(backend.in_flight, 0)
         self.assertEqual(scheduler.waiting, 0)
 
-    async def test_leaving_server_gets_nothing(self) -> None:
-        """A server that drains is no place."""
+    async def test_draining_server_gets_nothing(self) -> None:
+        """Guards against requests to a server whose row says it drains."""
         scheduler, _ = build_scheduler(4, is_draining=True)
         with self.assertRaises(Refusal) as caught:
             await scheduler.acquire(
@@ -162,17 +162,17 @@
             )
         self.assertEqual(caught.exception.cause, Cause.no_server)
 
-    async def test_loads_of_the_other_gateways_count(self) -> None:
-        """A server full of others' requests is full, but for our share."""
+    async def test_remote_load_counts(self) -> None:
+        """A server full of other gateways' requests has only the own share."""
         scheduler, (full, free) = build_scheduler(4, 4, gateways=2)
         full.remote_load = RemoteLoad(4, 0, Clock().now())
         placed = [await scheduler.acquire(build_job(), set()) for _ in range(4)]
         self.assertEqual(placed.count(free), 4)
-        # Both are full now; half of each server is ours all the same.
+        # Both are full now, but half of each server is the own share.
         self.assertIs(await scheduler.acquire(build_job(), set()), full)
 
     async def test_many_gateways_do_not_overfill_a_server(self) -> None:
-        """Each with a place beyond the slots would double what it holds."""
+        """Guards against an extra slot for each gateway without a bound."""
         scheduler, backends = build_scheduler(4, 4, gateways=8)
         now_ms = Clock().now()
         for backend in backends:
@@ -182,8 +182,8 @@
                 build_job(route=build_route(target_ms=50)), set()
             )
 
-    async def test_gateway_below_its_share_goes_before_the_full(self) -> None:
-        """Who has nothing anywhere gets a place beyond the slots."""
+    async def test_gateway_below_its_share_gets_an_extra_slot(self) -> None:
+        """Guards against starving a gateway that has no requests anywhere."""
         scheduler, backends = build_scheduler(4, 4, gateways=8)
         now_ms = Clock().now()
         for backend in backends:
@@ -194,16 +194,16 @@
                 build_job(route=build_route(target_ms=50)), set()
             )
 
-    async def test_room_ends_before_the_slots_do(self) -> None:
-        """With one place of four free there is none to spare."""
+    async def test_spare_capacity_ends_before_the_slots_do(self) -> None:
+        """With one slot of four free there is no spare capacity."""
         scheduler, _ = build_scheduler(4)
         self.assertTrue(scheduler.has_spare_capacity(POOL))
         for _ in range(3):
             await scheduler.acquire(build_job(), set())
         self.assertFalse(scheduler.has_spare_capacity(POOL))
 
-    async def test_less_urgent_work_leaves_places_free(self) -> None:
-        """A server's last places are for urgent work of any gateway."""
+    async def test_less_urgent_requests_leave_slots_free(self) -> None:
+        """A server's last slots are for urgent requests of any gateway."""
         scheduler, _ = build_scheduler(10)
         urgent = build_route(priority=0)
         other = build_route(priority=2, target_ms=50)
@@ -217,8 +217,8 @@
         self.assertEqual(placed, 8)
         await scheduler.acquire(build_job(route=urgent), set())
 
-    async def test_long_prompts_are_kept_apart(self) -> None:
-        """What waits to be read on a server makes it the slower one."""
+    async def test_pending_prompt_tokens_slow_a_server(self) -> None:
+        """Guards against queueing behind a long prompt."""
         scheduler, backends = build_scheduler(8, 8)
         job = build_job(route=_STREAM, prompt=Prompt(20_000, 10))
         first = await scheduler.acquire(job, set())
@@ -231,8 +231,8 @@
         ]
         self.assertNotIn(first, others)
 
-    async def test_own_zone_is_worth_a_little_delay(self) -> None:
-        """Bytes between zones are priced; a full server is not preferred."""
+    async def test_own_zone_is_preferred_up_to_a_point(self) -> None:
+        """Traffic between zones costs, but a full server is not preferred."""
         servers = [
             build_server('near', slots=8),
             build_server('far', slots=8, zone='b'),
@@ -249,19 +249,19 @@
         self.assertEqual(set(names[:4]), {'near'})
         self.assertIn('far', names[:10])
 
-    async def test_kept_prompt_draws_its_session(self) -> None:
-        """A prompt goes where most of it has been read already."""
-        scheduler, (_, keeper) = build_scheduler(8, 8)
-        keeper.cached_parts = {'a': 3000, 'b': 5000}
-        keeper.in_flight = 3
+    async def test_cached_prompt_attracts_its_session(self) -> None:
+        """A prompt goes where most of it is cached."""
+        scheduler, (_, caching) = build_scheduler(8, 8)
+        caching.cached_parts = {'a': 3000, 'b': 5000}
+        caching.in_flight = 3
         prompt = Prompt(8000, 10, (('a', 3000), ('b', 5000)))
         job = build_job(route=_STREAM, prompt=prompt)
-        self.assertIs(await scheduler.acquire(job, set()), keeper)
+        self.assertIs(await scheduler.acquire(job, set()), caching)
 
-    async def test_answer_that_would_end_late_goes_to_a_fast_server(
+    async def test_late_answer_goes_to_a_fast_server(
         self,
     ) -> None:
-        """A long answer is sent where it can be whole in time."""
+        """A long answer goes where it can be complete by its deadline."""
         scheduler, (slow, fast) = build_scheduler(8, 8)
         slow.speed.gap_ms = 60
         fast.speed.gap_ms = 10
@@ -274,13 +274,13 @@
             )
             self.assertIs(placed, fast)
 
-    async def test_long_answer_goes_where_it_is_made_soon(self) -> None:
-        """Also where its first event comes a little later."""
+    async def test_long_answer_goes_where_generation_is_fast(self) -> None:
+        """Even if the first event comes a little later there."""
         scheduler, (slow, fast) = build_scheduler(8, 8)
         slow.speed.gap_ms = 20
         fast.speed.gap_ms = 10
-        for known in (slow, fast):
-            known.unanswered[b'r0'] = (Clock().now(), 0)
+        for backend in (slow, fast):
+            backend.unanswered[b'r0'] = (Clock().now(), 0)
         fast.unanswered[b'r1'] = (Clock().now(), 2000)
         fast.in_flight = 2
         slow.in_flight = 2
@@ -289,8 +289,8 @@
         short = build_job(route=_STREAM, prompt=Prompt(100, 4))
         self.assertIs(await scheduler.acquire(short, set()), slow)
 
-    async def test_server_that_answers_nothing_is_left_alone(self) -> None:
-        """One of ours that waits long there is a sign for the next."""
+    async def test_silent_server_is_avoided(self) -> None:
+        """Guards against sending to a server that keeps a request waiting."""
         scheduler, (silent, other) = build_scheduler(8, 8)
         silent.unanswered[b'r0'] = (Clock().now() - 2000, 0)
         other.in_flight = 6
@@ -300,8 +300,8 @@
         ]
         self.assertEqual(placed, [other, other])
 
-    async def test_long_prompt_avoids_a_server_that_pauses(self) -> None:
-        """Where a long prompt makes all streams late, it goes elsewhere."""
+    async def test_long_prompt_avoids_a_pausing_server(self) -> None:
+        """Guards against long prompts that make other streams late."""
         scheduler, (pausing, other) = build_scheduler(8, 8)
         pausing.speed.record_pause(900)
         pausing.in_flight = 3
@@ -312,24 +312,24 @@
         short = build_job(route=route, prompt=Prompt(100, 10))
         self.assertIs(await scheduler.acquire(short, set()), pausing)
 
-    async def test_wrong_belief_of_speed_locks_nobody_out(self) -> None:
-        """Servers that are thought far too slow are tried all the same."""
+    async def test_slow_estimates_rule_out_no_idle_server(self) -> None:
+        """Guards against estimates that no response can correct."""
         scheduler, backends = build_scheduler(8, 8)
         for backend in backends:
             backend.speed.gap_ms = 4000
         job = build_job(route=_STREAM, prompt=Prompt(600, 800))
         self.assertIn(await scheduler.acquire(job, set()), backends)
 
-    async def test_idle_server_is_a_place_for_any_prompt(self) -> None:
-        """What nothing waits for is never too slow to be tried."""
+    async def test_idle_server_takes_any_prompt(self) -> None:
+        """Guards against refusing a long prompt for its target latency."""
         scheduler, backends = build_scheduler(8)
         backends[0].speed.gap_ms = 400
         slow = build_route(kind=RequestKind.stream, target_ms=10)
         job = build_job(route=slow, prompt=Prompt(60_000, 10))
         self.assertIs(await scheduler.acquire(job, set()), backends[0])
 
-    async def test_servers_whose_rows_lapsed_are_a_fallback(self) -> None:
-        """A row may go while the store is down; its server may be well."""
+    async def test_servers_with_lapsed_rows_are_a_fallback(self) -> None:
+        """Guards against refusals while the store is unreachable."""
         clock = ManualClock(10_000)
         servers = [build_server('i-0'), build_server('i-1')]
         backends = Backends(clock, NAMES.request_id, grace_ms=1000)
@@ -351,8 +351,8 @@
                 build_job(route=build_route(target_ms=1), arrived_ms=0), set()
             )
 
-    async def test_leaving_server_is_no_fallback(self) -> None:
-        """A row that goes after `leaving` is gone for good."""
+    async def test_draining_server_is_no_fallback(self) -> None:
+        """A row that goes after `leaving` does not come back."""
         clock = ManualClock(10_000)
         backends = Backends(clock, NAMES.request_id, grace_ms=1000)
         backends.replace_all([build_server('i-0', is_draining=True)])
@@ -360,11 +360,11 @@
         self.assertEqual(backends.in_pool('llm'), [])
 
 
-class NoticesTest(unittest.IsolatedAsyncioTestCase):
-    """Servers that have said that they leave, or that they want rest."""
+class SignalsTest(unittest.IsolatedAsyncioTestCase):
+    """Servers that have signalled that they drain or back off."""
 
     def build(self, *slots: int) -> tuple[Scheduler, Backends]:
-        """Give a scheduler before servers that may leave for 1.4 s."""
+        """Return a scheduler and servers that may drain for 1.4 s."""
         self.clock = ManualClock(1000)
         backends = Backends(self.clock, NAMES.request_id, _GRACE_MS)
         backends.update(
@@ -379,35 +379,35 @@
         )
         return scheduler, backends
 
-    async def place(self, scheduler: Scheduler, **changes: Any) -> str:
-        """Place a request; give the server, or why there is none."""
+    async def schedule(self, scheduler: Scheduler, **changes: Any) -> str:
+        """Schedule a request; return the server id or the cause of refusal."""
         job = build_job(arrived_ms=self.clock.now(), **changes)
-        placing = asyncio.create_task(scheduler.acquire(job, set()))
+        scheduling = asyncio.create_task(scheduler.acquire(job, set()))
         await asyncio.sleep(0.01)
         self.clock.advance(250)
         try:
-            return (await placing).server.id
+            return (await scheduling).server.id
         except Refusal as refusal:
             self.refusal = refusal
             return refusal.cause.value
 
-    async def test_who_leaves_is_a_last_resort(self) -> None:
-        """Nothing goes there while another server takes work, if full."""
+    async def test_draining_server_is_a_last_resort(self) -> None:
+        """Nothing goes there while another server serves, even a full one."""
         scheduler, backends = self.build(1, 1)
         backends.apply_signals(
             pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
         )
-        self.assertEqual(await self.place(scheduler), 'i-1')
+        self.assertEqual(await self.schedule(scheduler), 'i-1')
         self.assertEqual(
-            await self.place(scheduler), Cause.waited_too_long.value
+            await self.schedule(scheduler), Cause.waited_too_long.value
         )
         backends.apply_signals(
             pick(backends, 'i-1'), ServerSignals(is_draining=True), 0
         )
-        self.assertEqual(await self.place(scheduler), 'i-0')
+        self.assertEqual(await self.schedule(scheduler), 'i-0')
 
-    async def test_nothing_goes_there_that_it_may_not_end(self) -> None:
-        """A stream that takes longer than it has left."""
+    async def test_draining_server_gets_nothing_it_cannot_finish(self) -> None:
+        """Guards against a stream that is cut at the end of the drain time."""
         scheduler, backends = self.build(4)
         backends.apply_signals(
             pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
@@ -415,15 +415,15 @@
         short = Prompt(tokens=10, answer_tokens=10)
         long = Prompt(tokens=10, answer_tokens=900)
         self.assertEqual(
-            await self.place(scheduler, route=_STREAM, prompt=short), 'i-0'
+            await self.schedule(scheduler, route=_STREAM, prompt=short), 'i-0'
         )
         self.assertEqual(
-            await self.place(scheduler, route=_STREAM, prompt=long),
+            await self.schedule(scheduler, route=_STREAM, prompt=long),
             Cause.no_server.value,
         )
 
-    async def test_all_at_rest_are_told_apart_at_once(self) -> None:
-        """Who is turned away hears when the first has had its rest."""
+    async def test_refused_at_once_while_all_back_off(self) -> None:
+        """The retry time is the end of the first back-off."""
         scheduler, backends = self.build(4, 4)
         backends.apply_signals(
             pick(backends, 'i-0'), ServerSignals(backoff_ms=5000), 0
@@ -438,16 +438,16 @@
         self.assertGreaterEqual(caught.exception.retry_after_ms, 3000)
         self.assertLessEqual(caught.exception.retry_after_ms, 4000)
 
-    async def test_a_short_rest_is_waited_for(self) -> None:
-        """It ends before the patience does."""
+    async def test_short_back_off_is_waited_for(self) -> None:
+        """It ends before the request would stop waiting."""
         scheduler, backends = self.build(4)
         backends.apply_signals(
             pick(backends, 'i-0'), ServerSignals(backoff_ms=100), 0
         )
-        self.assertEqual(await self.place(scheduler), 'i-0')
+        self.assertEqual(await self.schedule(scheduler), 'i-0')
 
-    async def test_room_counts_who_may_be_sent_to(self) -> None:
-        """Places of a server at rest are none."""
+    async def test_spare_capacity_leaves_out_back_off(self) -> None:
+        """Slots of a server that backs off do not count."""
         scheduler, backends = self.build(2, 6)
         backend = pick(backends, 'i-0')
         backend.in_flight = 2
@@ -457,15 +457,15 @@
         )
         self.assertFalse(scheduler.has_spare_capacity(POOL))
 
-    async def test_one_finds_out_who_is_well_again(self) -> None:
-        """Who may go on elsewhere, and first; the others go elsewhere."""
+    async def test_one_request_probes_after_back_off(self) -> None:
+        """Only one that may be sent again; the others go elsewhere."""
         scheduler, backends = self.build(4, 4)
-        tired = pick(backends, 'i-1')
-        backends.apply_signals(tired, ServerSignals(backoff_ms=100), 0)
+        recovering = pick(backends, 'i-1')
+        backends.apply_signals(recovering, ServerSignals(backoff_ms=100), 0)
         self.clock.advance(100)
         once = build_route(attempts=1)
-        self.assertEqual(await self.place(scheduler, route=once), 'i-0')
-        self.assertEqual(await self.place(scheduler), 'i-1')
-        self.assertEqual(await self.place(scheduler), 'i-0')
-        tired.signals.record_answer(self.clock.now())
-        self.assertTrue(tired.is_usable(self.clock.now()))
+        self.assertEqual(await self.schedule(scheduler, route=once), 'i-0')
+        self.assertEqual(await self.schedule(scheduler), 'i-1')
+        self.assertEqual(await self.schedule(scheduler), 'i-0')
+        recovering.signals.record_answer(self.clock.now())
+        self.assertTrue(recovering.is_usable(self.clock.now()))
