--- a/seampond/gateway/__main__.py
+++ b/seampond/gateway/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m seampond.gateway SETTINGS`: the daemon and nothing else.
+"""`python -m seampond.gateway SETTINGS`: run one gateway.
 
-The command line of operators imports every role; a gateway is back sooner
-after a kill without them.
+The operators' command line imports every role; without them a gateway starts
+faster.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 _EXIT_USAGE = 2
 
 
-def main(words: list[str]) -> int:
-    """Run until a signal; give the exit status."""
-    if len(words) != 1:
+def main(arguments: list[str]) -> int:
+    """Run a gateway until a signal; return the exit status."""
+    if len(arguments) != 1:
         sys.stderr.write('usage: python -m seampond.gateway SETTINGS\n')
         return _EXIT_USAGE
-    read = partial(load_gateway, Path(words[0]))
+    read = partial(load_gateway, Path(arguments[0]))
     try:
         settings = read()
     except SettingsError as error:
--- a/seampond/gateway/bounds.py
+++ b/seampond/gateway/bounds.py
@@ -1,21 +1,21 @@
-"""The bounds of the settings, as the parts of a gateway take them."""
+"""Conversion of the settings' bounds for a gateway's components."""
 
 from seampond.clock import MS_PER_SECOND
 from seampond.rollouts.manager import ExposureLimits
 from seampond.settings.gateway import BoundSettings
 from seampond.sharing import QuotaMargin
 
-# Less than the bound: what is sent has to arrive inside it.
-_GRACE_PART = 0.7
+# Leaves time for requests to arrive within the bound.
+_GRACE_FRACTION = 0.7
 
 
 def compute_grace_ms(bounds: BoundSettings) -> int:
-    """Give how long a server whose row has gone is a fallback."""
-    return round(bounds.drain_ms * _GRACE_PART)
+    """Return how long a server without a row stays a fallback."""
+    return round(bounds.drain_ms * _GRACE_FRACTION)
 
 
 def make_quota_margin(bounds: BoundSettings) -> QuotaMargin:
-    """Give what may be given beyond a quota."""
+    """Return what may be granted beyond a quota."""
     return QuotaMargin(
         bounds.quota_overrun,
         bounds.quota_slack,
@@ -24,5 +24,5 @@
 
 
 def make_exposure_limits(bounds: BoundSettings) -> ExposureLimits:
-    """Give what may be sent to a version that is not proved."""
+    """Return how many requests an unproved version may receive."""
     return ExposureLimits(bounds.expose_share, bounds.expose_slack)
--- a/seampond/gateway/components.py
+++ b/seampond/gateway/components.py
@@ -1,4 +1,4 @@
-"""The state of one gateway, and what it tells others."""
+"""The components of one gateway and its exchange with other gateways."""
 
 import asyncio
 from collections.abc import Mapping
@@ -38,15 +38,15 @@
 )
 from seampond.watches import FreshnessProof, Page, TableFreshness, Watch
 
-_PROOF_TOLD_MS = 1000
-# With a heartbeat it has to fit into one datagram of 64 KB.
-_PAGE_MAX_BYTES = 8192
-_PAGES_MAX = 5
+_PROOF_SENT_MS = 1000
+# A page must fit into one datagram of 64 KB together with a heartbeat.
+_RELAYED_PAGE_MAX_BYTES = 8192
+_RELAYED_PAGES_MAX = 5
 
 
 @dataclass
 class GatewayComponents:
-    """The state of one gateway, wired together."""
+    """The components of one gateway."""
 
     settings: GatewaySettings
     clock: Clock
@@ -69,12 +69,12 @@
     permit_manager: PermitManager
     stalls: EventLoopStalls
     watches: dict[str, Watch] = field(default_factory=dict)
-    _pages: list[RelayedPage] = field(default_factory=list)
+    _pages_to_relay: list[RelayedPage] = field(default_factory=list)
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers are to be sent here."""
-        is_known = all(
+        """Whether the load balancer should send callers here."""
+        is_loaded = all(
             (
                 self.configuration_state.configuration is not None,
                 self.server_follower.is_loaded,
@@ -82,19 +82,19 @@
                 self.quarantine.trials.is_loaded,
             )
         )
-        return is_known and not self.web.is_stopping
+        return is_loaded and not self.web.is_stopping
 
     @property
     def is_store_unreachable(self) -> bool:
-        """Whether our calls to the store fail."""
+        """Whether calls of this gateway to the store fail."""
         return any(watch.is_failing for watch in self.watches.values())
 
     def apply_settings(self, settings: GatewaySettings) -> list[str]:
-        """Take changed settings; give the keys that changed.
+        """Apply changed settings; return the keys that changed.
 
         Explanation
         -----------
-        Bounds count from now on.  Addresses, name and zone are this life's.
+        Bounds take effect at once.  Addresses, name and zone need a restart.
         """
         before = _flatten(msgspec.to_builtins(self.settings))
         after = _flatten(msgspec.to_builtins(settings))
@@ -108,16 +108,16 @@
         return sorted(key for key in after if before.get(key) != after[key])
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take what another gateway has told."""
+        """Apply a heartbeat of another gateway."""
         self.quotas.apply_heartbeat(heartbeat)
         self.rollout_follower.manager.apply_reports(
             heartbeat.name, heartbeat.incarnation, heartbeat.rollouts
         )
         self.quarantine.apply_reports(heartbeat.crashes, heartbeat.successes)
         self.permit_manager.apply_reports(heartbeat.limit_reports)
-        # Before the proofs, which ask for what is missing.
-        for told in heartbeat.pages:
-            self._take_page(told)
+        # Pages go first: proofs trigger reads of the changes still missing.
+        for relayed in heartbeat.pages:
+            self._handle_relayed_page(relayed)
         for table, freshness in self.freshness.items():
             proof = heartbeat.proofs.get(hash_name(table))
             if proof is not None:
@@ -133,14 +133,14 @@
     def handle_permit_message(
         self, message: PermitRequest | PermitReply
     ) -> None:
-        """Take what another gateway asks or answers on permits."""
+        """Handle a request or reply about permits from another gateway."""
         if isinstance(message, PermitRequest):
             self.permit_manager.handle_request(message)
         else:
             self.permit_manager.handle_reply(message)
 
     def make_heartbeat(self, sequence: int) -> Heartbeat:
-        """Give what the other gateways are told."""
+        """Return the heartbeat to send to the other gateways."""
         self.permit_manager.expire()
         self.metrics.peers.set(self.peers.count)
         return Heartbeat(
@@ -152,10 +152,10 @@
             self.web.is_stopping,
             self.quotas.uptime_ms,
             self._loads(),
-            proofs=self._proofs(),
+            proofs=self._recent_proofs(),
             levels=self.quotas.levels_for_newcomers(),
             is_store_unreachable=self.is_store_unreachable,
-            pages=tuple(self._pages),
+            pages=tuple(self._pages_to_relay),
             rollouts=self.rollout_follower.manager.build_reports(),
             crashes=tuple(self.quarantine.suspects.list_crash_reports()),
             successes=self.quarantine.suspects.list_cleared(),
@@ -164,42 +164,47 @@
         )
 
     def record_heartbeat_sent(self) -> None:
-        """Note that all others were sent the heartbeat that was just made."""
+        """Record that the last heartbeat was sent to all other gateways."""
         self.quotas.record_sent()
-        self._pages.clear()
+        self._pages_to_relay.clear()
 
     def relay(self, table: str, since: int, page: Page) -> None:
-        """Tell the others at once what the store has told us.
+        """Relay an answer of the store to the other gateways at once.
 
         Explanation
         -----------
-        The answer proves what is newest, which saves the others a call, and
-        has the rows, which saves each of them one.  A configuration is too
-        large for a datagram; the others hear that there is one.
+        This saves them calls to the store.  Pages that are too large for a
+        datagram are not relayed, but the proof in the heartbeat announces
+        the new version.
         """
         self.is_heartbeat_due.set()
-        if not page.rows or len(self._pages) >= _PAGES_MAX:
+        if not page.rows or len(self._pages_to_relay) >= _RELAYED_PAGES_MAX:
             return
-        if sum(row.size for row in page.rows) > _PAGE_MAX_BYTES:
+        if sum(row.size for row in page.rows) > _RELAYED_PAGE_MAX_BYTES:
             return
-        self._pages.append(
+        self._pages_to_relay.append(
             RelayedPage(
                 hash_name(table), since, page.version, page.store_ms, page.rows
             )
         )
 
-    def _take_page(self, told: RelayedPage) -> None:
-        """Take what another gateway has read."""
+    def _handle_relayed_page(self, relayed: RelayedPage) -> None:
+        """Apply a page of the store that another gateway has read."""
         page = Page(
-            told.rows, told.version, told.store_ms, 0, 0, is_snapshot=False
+            relayed.rows,
+            relayed.version,
+            relayed.store_ms,
+            0,
+            0,
+            is_snapshot=False,
         )
         for table, watch in self.watches.items():
-            if hash_name(table) == told.table:
-                watch.apply_relayed(told.since, page)
+            if hash_name(table) == relayed.table:
+                watch.apply_relayed(relayed.since, page)
 
-    def _proofs(self) -> dict[int, FreshnessProof]:
-        """Give what is young; each heartbeat after a proof may be lost."""
-        oldest_ms = self.clock.now() - _PROOF_TOLD_MS
+    def _recent_proofs(self) -> dict[int, FreshnessProof]:
+        """Return recent proofs; they are repeated since heartbeats get lost."""
+        oldest_ms = self.clock.now() - _PROOF_SENT_MS
         return {
             hash_name(table): freshness.proof
             for table, freshness in self.freshness.items()
@@ -217,11 +222,11 @@
         }
 
 
-def _flatten(tree: dict[str, Any], start: str = '') -> dict[str, Any]:
+def _flatten(tree: dict[str, Any], prefix: str = '') -> dict[str, Any]:
     flat: dict[str, Any] = {}
-    for name, part in tree.items():
-        if isinstance(part, dict):
-            flat.update(_flatten(part, f'{start}{name}.'))
+    for name, child in tree.items():
+        if isinstance(child, dict):
+            flat.update(_flatten(child, f'{prefix}{name}.'))
         else:
-            flat[f'{start}{name}'] = part
+            flat[f'{prefix}{name}'] = child
     return flat
--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: its parts run for the time of a `with`."""
+"""The gateway daemon, which runs a gateway's components."""
 
 import functools
 import logging
@@ -41,30 +41,31 @@
 from seampond.web import WebServer, serve_http
 
 _STOP_MARGIN_MS = 500
-_PROOF_MS = 1500
-_GATEWAYS_PROOF_MS = 8000
+_PROOF_AGE_MS = 1500
+_GATEWAYS_PROOF_AGE_MS = 8000
 _CRITICAL_PAUSE_MS = 600
 _ROUTINE_PAUSE_MS = 1500
 _BATCH_MS = 250
-# With the configuration at hand the trials are waited for 3 s at the most.
-_TRIALS_PAUSE_MS = 250
-_TRIALS_TRIES = 12
-_LOOK_MS = 100
+# Once a configuration is known, a gateway waits 3 s for the trials at most.
+_TRIALS_RETRY_MS = 250
+_TRIALS_TRIES_MAX = 12
+_POLL_INTERVAL_MS = 100
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class LatencySample:
-    """How fast a table is followed.
+class FollowPolicy:
+    """How promptly a table is followed.
 
     Parameters
     ----------
     max_pause_ms : int
-        The longest pause between two calls that fail.
+        The longest pause after a failed call.
     batch_ms : int
-        How long changes may be gathered for one answer.
+        How long changes may be collected into one answer.
     proves_at_start : bool
-        Whether a start asks at once whether what it has read is the newest.
+        Whether a gateway that starts at once verifies that its copy of the
+        table is current.
 
     """
 
@@ -73,9 +74,9 @@
     proves_at_start: bool
 
 
-# An older configuration may hold a key that was taken away since.
-_CRITICAL = LatencySample(_CRITICAL_PAUSE_MS, 0, proves_at_start=True)
-_ROUTINE = LatencySample(_ROUTINE_PAUSE_MS, _BATCH_MS, proves_at_start=False)
+# An outdated configuration may hold a key that has been revoked.
+_CRITICAL = FollowPolicy(_CRITICAL_PAUSE_MS, 0, proves_at_start=True)
+_ROUTINE = FollowPolicy(_ROUTINE_PAUSE_MS, _BATCH_MS, proves_at_start=False)
 
 
 @dataclass
@@ -86,17 +87,17 @@
     server: WebServer
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed settings; nothing that runs is touched."""
+        """Apply changed settings without interrupting open requests."""
         changed = self.components.apply_settings(settings)
         _logger.info('settings reloaded', extra={'changed': changed})
 
     async def drain(self) -> None:
-        """Planned stop: not ready, linger, then finish what is open.
+        """Stop as planned: not ready, linger, then finish open requests.
 
         Explanation
         -----------
-        Callers are taken until the last request of the linger time is over:
-        where all gateways stop in turn, nobody else would answer them.
+        Requests are accepted during the linger time and until the last of
+        them is done, since no other gateway may be up to answer callers.
         """
         web, clock = self.components.web, self.components.clock
         settings = self.components.settings
@@ -114,22 +115,22 @@
 
 
 @asynccontextmanager
-async def _watch(
+async def _follow_table(
     components: GatewayComponents,
     table: str,
-    take: Callable[[Page], None],
-    age_ms: int,
-    policy: LatencySample,
+    handle_page: Callable[[Page], None],
+    proof_age_ms: int,
+    policy: FollowPolicy,
 ) -> AsyncIterator[None]:
     """Follow one table until the end of the `with`.
 
     Parameters
     ----------
-    age_ms : int
-        How old a proof may be that we hold all changes of the table.
+    proof_age_ms : int
+        Age at which the proof that the local copy is current is renewed.
     """
 
-    def count(step: str) -> None:
+    def count_failure(step: str) -> None:
         components.metrics.store_failures.labels(step).inc()
 
     store, clock = components.settings.store, components.clock
@@ -140,10 +141,10 @@
         watch = Watch(
             source,
             probe_source,
-            take,
+            handle_page,
             store.call_ms,
             clock,
-            count,
+            count_failure,
             components.freshness[table],
             policy.max_pause_ms,
             policy.batch_ms,
@@ -156,15 +157,17 @@
         async with run_tasks(
             watch.run(),
             probe_when_stale(
-                watch, age_ms, lambda: components.peers.rank, clock
+                watch, proof_age_ms, lambda: components.peers.rank, clock
             ),
         ):
             yield
 
 
 @asynccontextmanager
-async def _share(components: GatewayComponents) -> AsyncIterator[None]:
-    """Make ourselves known and exchange heartbeats until the end."""
+async def _share_with_peers(
+    components: GatewayComponents,
+) -> AsyncIterator[None]:
+    """Register this gateway and exchange heartbeats until the end."""
     settings, clock = components.settings, components.clock
     sharing = TransportContext(
         components.peers,
@@ -188,37 +191,37 @@
         await unregister(table, components.peers)
 
 
-def _take_operators(components: GatewayComponents, page: Page) -> None:
-    """Take what operators have written: configurations and orders."""
+def _handle_operator_rows(components: GatewayComponents, page: Page) -> None:
+    """Apply rows that operators write: configurations and orders."""
     components.configuration_follower.handle_page(page)
     components.rollout_follower.handle_orders(page)
 
 
 async def _follow_states(components: GatewayComponents) -> None:
-    """Follow the states of roll-outs while an order is carried out.
+    """Follow the status table while an order is carried out.
 
     Explanation
     -----------
-    Each call to the store is priced, and most of the time there is no order.
+    The table is not followed otherwise, since each call to the store costs.
     """
     follower = components.rollout_follower
     while True:
         await follower.is_active.wait()
-        async with _watch(
+        async with _follow_table(
             components,
             STATUS_TABLE,
             follower.handle_states,
-            _PROOF_MS,
+            _PROOF_AGE_MS,
             _CRITICAL,
         ):
             while follower.is_active.is_set():
-                await components.clock.sleep(_LOOK_MS)
+                await components.clock.sleep(_POLL_INTERVAL_MS)
         components.watches.pop(STATUS_TABLE)
 
 
 @asynccontextmanager
 async def _run_rollouts(components: GatewayComponents) -> AsyncIterator[None]:
-    """Carry out orders of roll-outs until the end of the `with`."""
+    """Carry out rollout orders until the end of the `with`."""
     clock, address = components.clock, components.settings.store.address
     async with (
         open_table(address, STATUS_TABLE, clock) as table,
@@ -241,29 +244,29 @@
 
 
 async def _read_trials(components: GatewayComponents) -> None:
-    """Learn what was in quarantine before our start.
+    """Load the trials that were stored before this gateway started.
 
     Explanation
     -----------
-    Nothing is sent before, or a request that has ended its servers ends more
-    after each loss of all gateways.  A table that cannot be read while the
-    configuration can is not waited for without end.
+    The gateway is not ready before, so that a request that crashes servers is
+    not sent again after all gateways restarted.  It gives up if this table
+    remains unreadable while the configuration is known.
     """
     trials = components.quarantine.trials
-    tries = 0
+    attempts = 0
     while not trials.is_loaded:
         try:
             await trials.read()
         except PlatformError as error:
-            tries += components.configuration_state.configuration is not None
-            trials.is_loaded = tries >= _TRIALS_TRIES
+            attempts += components.configuration_state.configuration is not None
+            trials.is_loaded = attempts >= _TRIALS_TRIES_MAX
             _logger.warning('trials not read', extra={'reason': error.message})
-            await components.clock.sleep(_TRIALS_PAUSE_MS)
+            await components.clock.sleep(_TRIALS_RETRY_MS)
 
 
 @asynccontextmanager
 async def _run_quarantine(components: GatewayComponents) -> AsyncIterator[None]:
-    """Hold the table of trials open until the end of the `with`."""
+    """Keep the table of trials open until the end of the `with`."""
     address = components.settings.store.address
     trials = components.quarantine.trials
     async with open_table(address, QUARANTINE_TABLE, components.clock) as table:
@@ -274,7 +277,7 @@
         trials.table = None
 
 
-def _port(address: str) -> int:
+def _port_of(address: str) -> int:
     return int(address.rpartition(':')[2])
 
 
@@ -294,11 +297,11 @@
 
 
 def make_app(components: GatewayComponents) -> ASGIApp:
-    """Give one application for callers, the balancer and operators.
+    """Return the application for callers, the load balancer and operators.
 
     Explanation
     -----------
-    One web server listens on all addresses, since each would wake up the
+    One web server listens on all addresses, since each server wakes up the
     process ten times a second.
     """
     pages = Pages(
@@ -308,10 +311,13 @@
         READY_PATH,
     )
     settings = components.settings
-    other = {_port(settings.ready_listen), _port(settings.metrics_listen)}
+    internal_ports = {
+        _port_of(settings.ready_listen),
+        _port_of(settings.metrics_listen),
+    }
 
     async def dispatch(scope: Scope, receive: Receive, send: Send) -> None:
-        if scope['server'][1] in other:
+        if scope['server'][1] in internal_ports:
             await _send_page(render_page(pages, scope['path']), send)
         else:
             await components.web(scope, receive, send)
@@ -328,30 +334,32 @@
     bounds = settings.bounds
     drain_ms = bounds.stop_ms - settings.linger_ms - _STOP_MARGIN_MS
     async with AsyncExitStack() as stack:
-        for table, take, age_ms, policy in (
+        for table, handle_page, proof_age_ms, policy in (
             (
                 CONFIGURATION_TABLE,
-                functools.partial(_take_operators, components),
-                _PROOF_MS,
+                functools.partial(_handle_operator_rows, components),
+                _PROOF_AGE_MS,
                 _CRITICAL,
             ),
             (
                 SERVERS_TABLE,
                 components.server_follower.handle_page,
-                _PROOF_MS,
+                _PROOF_AGE_MS,
                 _ROUTINE,
             ),
             (
                 GATEWAYS_TABLE,
                 functools.partial(apply_gateway_rows, components.peers),
-                _GATEWAYS_PROOF_MS,
+                _GATEWAYS_PROOF_AGE_MS,
                 _ROUTINE,
             ),
         ):
             await stack.enter_async_context(
-                _watch(components, table, take, age_ms, policy)
+                _follow_table(
+                    components, table, handle_page, proof_age_ms, policy
+                )
             )
-        await stack.enter_async_context(_share(components))
+        await stack.enter_async_context(_share_with_peers(components))
         await stack.enter_async_context(_run_rollouts(components))
         await stack.enter_async_context(_run_quarantine(components))
         await stack.enter_async_context(
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of configuration and servers, kept from watches."""
+"""Configuration and servers, kept up to date from watched tables."""
 
 import logging
 
@@ -14,13 +14,13 @@
 from seampond.promises import Promises, Rule
 from seampond.watches import Page, Row
 
-# How many rows that are none are told of, until some are told anew.
+# Bounds the memory of rows that were already logged as invalid.
 _REFUSED_MAX = 256
 _logger = logging.getLogger(__name__)
 
 
 class ConfigurationFollower:
-    """Puts each newer configuration in force; never an older one."""
+    """Applies each newer configuration, never an older one."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         self._clock = clock
 
     def handle_page(self, page: Page) -> None:
-        """Take an answer of the store."""
+        """Apply an answer of the store."""
         for row in page.rows:
             if row.key == CONFIGURATION_KEY and not row.is_deleted:
                 self._apply_row(row)
 
     def record_proof(self, proved_ms: int) -> None:
-        """Note when the configuration in force was surely the newest."""
+        """Record that the current configuration was the newest at a time."""
         if self._state.configuration is not None:
             before_ms = self._state.proved_ms or proved_ms
             self._state.proved_ms = max(before_ms, proved_ms)
@@ -51,7 +51,7 @@
         try:
             configuration = parse_configuration(row.content)
         except PlatformError:
-            _logger.exception('configuration refused')
+            _logger.exception('invalid configuration ignored')
             return
         current = self._state.configuration
         version = current.version if current else 0
@@ -77,7 +77,7 @@
 
 
 class ServerFollower:
-    """Keeps the list of servers."""
+    """Keeps the backends in line with the list of servers."""
 
     def __init__(self, backends: Backends, scheduler: Scheduler) -> None:
         """Start without a list."""
@@ -87,11 +87,11 @@
         self._refused: set[tuple[str, str]] = set()
 
     def handle_page(self, page: Page) -> None:
-        """Take an answer of the store."""
+        """Apply an answer of the store."""
         servers: list[Server] = []
         gone: list[str] = []
         unreadable: list[str] = []
-        # One answer may hold a row that went and came back: the last counts.
+        # An answer may hold a row more than once; the last one counts.
         latest = {row.key: row for row in page.rows}
         for row in latest.values():
             if row.is_deleted:
@@ -111,14 +111,14 @@
         self._scheduler.process_queues()
 
     def _log_refused(self, server_id: str, error: PlatformError) -> None:
-        """Log a row that is none; once, however often it is written."""
-        told = (server_id, error.message)
-        if told in self._refused:
+        """Log an invalid row, once for each server and message."""
+        refusal = (server_id, error.message)
+        if refusal in self._refused:
             return
         if len(self._refused) >= _REFUSED_MAX:
             self._refused.clear()
-        self._refused.add(told)
+        self._refused.add(refusal)
         _logger.error(
-            'row of a server refused',
+            'invalid server row ignored',
             extra={'server': server_id, 'reason': error.message},
         )
--- a/seampond/gateway/rollouts.py
+++ b/seampond/gateway/rollouts.py
@@ -1,4 +1,4 @@
-"""Orders and states of roll-outs followed, and decisions written."""
+"""Following of rollout orders and states, and writing of decisions."""
 
 import asyncio
 import logging
@@ -22,70 +22,74 @@
 from seampond.rollouts import Change, RolloutManager, Stage, State
 from seampond.watches import Page, Row
 
-_LOOK_MS = 100
-# Each that comes later in the order of names leaves the earlier ones this time
-# to write: all come to the same decision.
-_RANK_MS = 300
-_MOST_RANKS = 4
-# A write may have been done without an answer; the feed tells by then.
-_AGAIN_MS = 400
+_CHECK_INTERVAL_MS = 100
+# All gateways reach the same decision; each waits this long for every gateway
+# ranked before it to write the decision first.
+_WRITE_DELAY_PER_RANK_MS = 300
+_RANKS_MAX = 4
+# Long enough for the feed to show a write whose answer was lost.
+_WRITE_RETRY_MS = 400
 _logger = logging.getLogger(__name__)
-_Read = TypeVar('_Read')
+_Parsed = TypeVar('_Parsed')
 
 
 class TransactionWriter(Protocol):
-    """Writes rows of the store on conditions."""
+    """Writes rows of the store conditionally."""
 
-    async def commit(self, change: RowTransaction) -> None:
-        """Write all or none."""
+    async def commit(self, transaction: RowTransaction) -> None:
+        """Write all rows or none."""
 
 
 class RolloutFollower:
-    """Hands rows of the store on to the roll-outs.
+    """Passes rows of the store to the rollout manager.
 
     Parameters
     ----------
     is_active : asyncio.Event
-        Set while the states of orders have to be followed.
+        Set while the status table has to be followed.
 
     """
 
     def __init__(self, rollouts: RolloutManager, clock: Clock) -> None:
-        """Start with no order."""
+        """Create a follower without orders."""
         self.manager = rollouts
         self.is_active = asyncio.Event()
         self._clock = clock
         self._is_start = True
 
     def handle_orders(self, page: Page) -> None:
-        """Take an answer about the operators' table."""
+        """Apply an answer about the configuration table."""
         rows = [row for row in page.rows if is_order_row(row)]
         latest = {row.key: row for row in rows}
-        orders = list(_read_all(latest.values(), parse_order))
-        gone = [pool_name(row) for row in latest.values() if row.is_deleted]
+        orders = list(_parse_rows(latest.values(), parse_order))
+        withdrawn = [
+            pool_name(row) for row in latest.values() if row.is_deleted
+        ]
         if page.is_snapshot:
             listed = set(map(pool_name, latest.values()))
-            gone.extend(set(self.manager.pools_with_order) - listed)
+            withdrawn.extend(set(self.manager.pools_with_order) - listed)
         self.manager.apply_orders(
-            orders, gone, self._clock.now(), is_start=self._is_start
+            orders, withdrawn, self._clock.now(), is_start=self._is_start
         )
         self._is_start = False
         self._update_active()
 
     def handle_states(self, page: Page) -> None:
-        """Take an answer about the table of states."""
+        """Apply an answer about the status table."""
         latest = {row.key: row for row in page.rows}
         statuses = [row for row in latest.values() if is_status_row(row)]
         steps = [row for row in latest.values() if is_step_row(row)]
-        # A row that is not there any more is one that nothing rests on.
-        lacking = self.manager.pools_with_state if page.is_snapshot else ()
+        # A pool whose row is missing from a snapshot has no state any more.
+        missing_pools = (
+            self.manager.pools_with_state if page.is_snapshot else ()
+        )
         self.manager.apply_states(
-            dict.fromkeys(lacking)
+            dict.fromkeys(missing_pools)
             | {pool_name(row): None for row in statuses}
-            | dict(_read_named(statuses, parse_status)),
-            dict.fromkeys(lacking)
+            | dict(_parse_by_pool(statuses, parse_status)),
+            dict.fromkeys(missing_pools)
             | {pool_name(row): None for row in steps}
-            | dict(_read_named(steps, parse_step)),
+            | dict(_parse_by_pool(steps, parse_step)),
             self._clock.now(),
         )
         self._update_active()
@@ -97,25 +101,25 @@
             self.is_active.clear()
 
 
-def _read_all(
-    rows: Iterable[Row], read: Callable[[Row], _Read]
-) -> Iterator[_Read]:
-    for _, told in _read_named(rows, read):
-        yield told
+def _parse_rows(
+    rows: Iterable[Row], parse: Callable[[Row], _Parsed]
+) -> Iterator[_Parsed]:
+    for _, parsed in _parse_by_pool(rows, parse):
+        yield parsed
 
 
-def _read_named(
-    rows: Iterable[Row], read: Callable[[Row], _Read]
-) -> Iterator[tuple[str, _Read]]:
-    """Read rows; one that is none is logged and passed over."""
+def _parse_by_pool(
+    rows: Iterable[Row], parse: Callable[[Row], _Parsed]
+) -> Iterator[tuple[str, _Parsed]]:
+    """Parse rows by pool; invalid rows are logged and skipped."""
     for row in rows:
         if row.is_deleted:
             continue
         try:
-            yield pool_name(row), read(row)
+            yield pool_name(row), parse(row)
         except PlatformError as error:
             _logger.error(
-                'row of a roll-out refused',
+                'invalid rollout row ignored',
                 extra={'key': row.key, 'reason': error.message},
             )
 
@@ -128,14 +132,14 @@
     promises: Promises,
     clock: Clock,
 ) -> None:
-    """Judge, and write what is decided, for as long as the process lives.
+    """Evaluate rollouts and write the decisions until cancelled.
 
     Parameters
     ----------
     rank : Callable[[], int]
-        How many others write before us.
+        Number of gateways that write before this one.
     notify_peers : Callable[[], None]
-        Lets the others hear of us at once.
+        Sends a heartbeat at once.
 
     """
     rollouts = follower.manager
@@ -149,24 +153,26 @@
         now_ms = clock.now()
         changes = rollouts.plan_changes(now_ms)
         since_ms = {change: since_ms.get(change, now_ms) for change in changes}
-        wait_ms = min(_MOST_RANKS, rank()) * _RANK_MS
+        wait_ms = min(_RANKS_MAX, rank()) * _WRITE_DELAY_PER_RANK_MS
         due = [
             change for change in changes if now_ms >= since_ms[change] + wait_ms
         ]
         for change in due:
-            _check(rollouts, change, promises)
+            _check_promises(rollouts, change, promises)
             await _write(writer, change)
-        await clock.sleep(_AGAIN_MS if due else _LOOK_MS)
+        await clock.sleep(_WRITE_RETRY_MS if due else _CHECK_INTERVAL_MS)
 
 
 def _list_stages(rollouts: RolloutManager) -> list[tuple[Stage, bool]]:
-    return [(one.stage, one.is_rejected) for one in rollouts.running]
+    return [
+        (rollout.stage, rollout.is_rejected) for rollout in rollouts.running
+    ]
 
 
-def _check(
+def _check_promises(
     rollouts: RolloutManager, change: Change, promises: Promises
 ) -> None:
-    """Hold a decision against what was promised, before it is written."""
+    """Check a decision against the promises before it is written."""
     if change.state is State.done:
         promises.check(
             Rule.nothing_open_when_done,
@@ -186,11 +192,13 @@
     try:
         await writer.commit(encode_transaction(change))
     except ConflictError:
-        _logger.info('another gateway wrote of the roll-out', extra=extra)
+        _logger.info(
+            'rollout state already written by another gateway', extra=extra
+        )
     except PlatformError as error:
         _logger.warning(
-            'state of a roll-out not written',
+            'rollout state not written',
             extra=extra | {'detail': error.message},
         )
     else:
-        _logger.info('state of a roll-out written', extra=extra)
+        _logger.info('rollout state written', extra=extra)
--- a/seampond/gateway/stalls.py
+++ b/seampond/gateway/stalls.py
@@ -1,4 +1,4 @@
-"""How long our own process did not run, while versions are compared."""
+"""Times at which the event loop was stalled."""
 
 import asyncio
 from collections import deque
@@ -6,15 +6,20 @@
 
 from seampond.clock import Clock
 
-_LOOK_MS = 10
-# The timers of an event loop are late by a little at any time.
-_LEAST_MS = 5
-_KEPT = 512
+_CHECK_INTERVAL_MS = 10
+# Shorter delays are ordinary timer jitter.
+_MIN_STALL_MS = 5
+_SPANS_MAX = 512
 
 
 @dataclass(slots=True)
 class EventLoopStalls:
-    """When the process did not run that should have, in its own time.
+    """Records the time spans in which the event loop was stalled.
+
+    Explanation
+    -----------
+    Stalls are subtracted from latencies that rollouts compare: an answer that
+    waits in the gateway's own socket is not a slow one.
 
     Examples
     --------
@@ -28,31 +33,31 @@
     """
 
     spans: deque[tuple[int, int]] = field(
-        default_factory=lambda: deque(maxlen=_KEPT)
+        default_factory=lambda: deque(maxlen=_SPANS_MAX)
     )
 
     def record(self, since_ms: int, until_ms: int) -> None:
-        """Note a span in which it did not run."""
+        """Record a span in which the event loop was stalled."""
         self.spans.append((since_ms, until_ms))
 
     def total_ms(self, since_ms: int, until_ms: int) -> int:
-        """Give for how long it did not run in a span."""
-        parts = (
+        """Return how long the event loop was stalled in a span."""
+        overlaps = (
             min(until, until_ms) - max(since, since_ms)
             for since, until in self.spans
         )
-        return sum(part for part in parts if part > 0)
+        return sum(overlap for overlap in overlaps if overlap > 0)
 
 
 async def record_stalls(
     stalls: EventLoopStalls, is_active: asyncio.Event, clock: Clock
 ) -> None:
-    """Note stalls for as long as somebody wants to know."""
+    """Record stalls while `is_active` is set, until cancelled."""
     while True:
         await is_active.wait()
         before_ms = clock.now()
-        await clock.sleep(_LOOK_MS)
-        due_ms = before_ms + _LOOK_MS
+        await clock.sleep(_CHECK_INTERVAL_MS)
+        due_ms = before_ms + _CHECK_INTERVAL_MS
         now_ms = clock.now()
-        if now_ms - due_ms >= _LEAST_MS:
+        if now_ms - due_ms >= _MIN_STALL_MS:
             stalls.record(due_ms, now_ms)
--- a/seampond/gateway/status.py
+++ b/seampond/gateway/status.py
@@ -1,10 +1,10 @@
-"""What operators see of one gateway."""
+"""Status page of a gateway."""
 
 from seampond.gateway.components import GatewayComponents
 
 
 def build_status(components: GatewayComponents) -> dict[str, object]:
-    """Give what operators see on ``/status``."""
+    """Return the content of ``/status``."""
     now_ms = components.clock.now()
     admission = components.web.admission
     servers = [
--- a/seampond/gateway/version_policy.py
+++ b/seampond/gateway/version_policy.py
@@ -1,4 +1,4 @@
-"""How roll-outs steer a gateway's requests, and what they learn of them."""
+"""Choice of server versions during rollouts, and their evidence."""
 
 import random
 from collections.abc import Sequence
@@ -13,19 +13,16 @@
 from seampond.rollouts.latency import MIN_SLOWDOWN_MS, LatencySample
 from seampond.sharing import hash_name
 
-_BAD = frozenset(
+_BAD_OUTCOMES = frozenset(
     (Outcome.failed.value, Outcome.in_doubt.value, Outcome.rejected.value)
 )
-# What callers notice of a longer wait, as a part of the target.  On a busy
-# machine a good version was rolled back: six of its answers in a row were seen
-# after 41 to 63 ms, where nine in ten of the old one's took 20 and callers
-# expect an answer within 1 s.
-_NOTICED_PART = 0.05
+# Smaller slowdowns, as a fraction of the target latency, are ignored.
+_NOTICEABLE_FRACTION = 0.05
 
 
 @dataclass
 class RolloutVersionPolicy:
-    """Sends requests where the roll-outs want them."""
+    """Selects server versions as the rollouts in progress require."""
 
     manager: RolloutManager
     clock: Clock
@@ -35,7 +32,7 @@
     def group(
         self, job: Job, backends: Sequence[Backend]
     ) -> Sequence[Sequence[Backend]]:
-        """Give the servers to look at, those that come first before others."""
+        """Return groups of servers, the preferred group first."""
         is_fresh = not (job.attempts or job.has_streamed or job.last_event)
         draw = self.rng.random() if is_fresh else None
         return self.manager.group_backends(
@@ -43,7 +40,7 @@
         )
 
     def record_placement(self, backend: Backend) -> None:
-        """Count a request against what may be exposed."""
+        """Record a dispatch, which counts towards the exposure limits."""
         self.manager.record_placement(
             backend.server.pool, backend.server.version
         )
@@ -51,33 +48,35 @@
     def record_attempt(
         self, job: Job, backend: Backend, record: AttemptRecord
     ) -> None:
-        """Count an answer as good, failed or slow."""
+        """Record the result and latency of an attempt."""
         if record.outcome == Outcome.unreachable.value:
             return
         now_ms = self.clock.now()
         stalled_ms = self.stalls.total_ms(now_ms - record.duration_ms, now_ms)
-        is_bad = record.outcome in _BAD
-        # A cold server has said that it would be slow.
+        is_bad = record.outcome in _BAD_OUTCOMES
+        # Slow answers of a cold server are expected.
         is_cold = now_ms < backend.cold_until_ms
         self.manager.record_answer(
             backend.server.pool,
             hash_name(job.route.name),
             backend.server.version,
-            None if is_bad or is_cold else _measure(job, record, stalled_ms),
+            None
+            if is_bad or is_cold
+            else _make_sample(job, record, stalled_ms),
             now_ms,
             is_bad=is_bad,
             is_answer=is_bad or record.first_byte_ms >= 0,
         )
 
 
-def _measure(
+def _make_sample(
     job: Job, record: AttemptRecord, stalled_ms: int
 ) -> LatencySample | None:
-    """Give what tells best how fast an answer was.
+    """Return the latency of an attempt, None if it cannot be measured.
 
     Explanation
     -----------
-    What we did not see in time says nothing of the pauses of a stream.
+    The gaps of a stream cannot be measured if the event loop was stalled.
     """
     if job.is_stream and record.mean_gap_ms:
         return None if stalled_ms else LatencySample('gap', record.mean_gap_ms)
@@ -87,5 +86,7 @@
         if record.first_byte_ms >= 0
         else record.duration_ms
     )
-    slower_ms = max(MIN_SLOWDOWN_MS, _NOTICED_PART * job.route.target_ms)
-    return LatencySample(kind, max(0, took_ms - stalled_ms), slower_ms)
+    slowdown_ms = max(
+        MIN_SLOWDOWN_MS, _NOTICEABLE_FRACTION * job.route.target_ms
+    )
+    return LatencySample(kind, max(0, took_ms - stalled_ms), slowdown_ms)
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -48,19 +48,19 @@
 def connection_limit(
     configuration_state: ConfigurationState, peers: Peers, pool: str
 ) -> int:
-    """Give how many connections one gateway may have to each server.
+    """Return how many connections one gateway may have to each server.
 
     Explanation
     -----------
-    A server resets what comes beyond the bound of its pool.  Each request
-    has a connection of its own and takes a rested one first, so a bound on
-    the requests there bounds the connections too.
+    A server resets connections beyond the limit of its pool.  Each request
+    uses one connection and prefers an idle one, so limiting the requests
+    limits the connections.
     """
     configuration = configuration_state.configuration
-    known = configuration.pools.get(pool) if configuration else None
-    if known is None or not known.connections_max:
+    pool_settings = configuration.pools.get(pool) if configuration else None
+    if pool_settings is None or not pool_settings.connections_max:
         return sys.maxsize
-    return max(1, known.connections_max // peers.count)
+    return max(1, pool_settings.connections_max // peers.count)
 
 
 def make_rollouts(
@@ -70,7 +70,7 @@
     peers: Peers,
     store_clock: StoreClock,
 ) -> RolloutManager:
-    """Wire the roll-outs."""
+    """Create the rollout manager."""
 
     def has_pool(pool: str) -> bool:
         configuration = configuration_state.configuration
@@ -97,13 +97,13 @@
     )
 
 
-def _show_ages(
+def _export_freshness(
     metrics: GatewayMetrics,
     configuration_state: ConfigurationState,
     freshness: Mapping[str, TableFreshness],
     clock: Clock,
 ) -> None:
-    """Let the metrics tell how old and how complete beliefs are when asked."""
+    """Bind the metrics of configuration age and missing rows."""
     metrics.proof_age.set_function(
         lambda: (
             (configuration_state.proof_age_ms(clock.now()) or 0) / MS_PER_SECOND
@@ -122,7 +122,7 @@
 def make_components(
     settings: GatewaySettings, clock: Clock
 ) -> GatewayComponents:
-    """Wire the state of a gateway together."""
+    """Create and connect the components of a gateway."""
     metrics = GatewayMetrics()
     promises = Promises(lambda rule: metrics.violations.labels(rule).inc())
     configuration_state = ConfigurationState()
@@ -142,7 +142,7 @@
         compute_grace_ms(bounds),
         lambda pool: connection_limit(configuration_state, peers, pool),
         hash_name,
-        lambda word: metrics.server_signals.labels(word).inc(),
+        lambda signal: metrics.server_signals.labels(signal).inc(),
     )
     store_clock = StoreClock()
     rollouts = make_rollouts(
@@ -202,7 +202,7 @@
             clock, store_clock, lambda proved_ms: None
         ),
     }
-    _show_ages(metrics, configuration_state, freshness, clock)
+    _export_freshness(metrics, configuration_state, freshness, clock)
     configuration_state.is_outdated = lambda: (
         freshness[CONFIGURATION_TABLE].is_behind
     )
