--- a/seampond/forwarding/backend.py
+++ b/seampond/forwarding/backend.py
@@ -113,7 +113,7 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether it is listed and does not drain."""
+        """Whether it is listed by a readable row and does not drain."""
         is_known = self.is_listed and self.is_readable
         return is_known and not self.is_draining
 
--- a/seampond/forwarding/backends.py
+++ b/seampond/forwarding/backends.py
@@ -24,7 +24,7 @@
     return sys.maxsize
 
 
-def _count_nothing(word: str) -> None:
+def _count_nothing(kind: str) -> None:
     """Count nothing."""
 
 
@@ -57,7 +57,7 @@
     hash_name : Callable[[str], int]
         Return the key that identifies a server incarnation among gateways.
     count_signal : Callable[[str], None]
-        Counts an answer with a word of its server on itself.
+        Count a response by the kind of signal that it carries.
 
     Attributes
     ----------
@@ -252,8 +252,8 @@
         keep_alive_ms: int | None,
     ) -> None:
         """Keep a connection for the next request or close it."""
-        backoff_ms = keep_alive_ms if backend.takes_work else None
-        if connection.finish(backoff_ms):
+        idle_ms = keep_alive_ms if backend.takes_work else None
+        if connection.finish(idle_ms):
             backend.idle.append(connection)
         else:
             backend.connection_count -= 1
--- a/seampond/forwarding/scheduler.py
+++ b/seampond/forwarding/scheduler.py
@@ -374,7 +374,7 @@
     async def _wait(self, waiter: Waiter) -> Backend:
         pool = waiter.job.pool
         while True:
-            # A pause may have ended, or a load report expired.
+            # A pause of a server may have ended, or a load report expired.
             self.process_queue(pool)
             left_ms = waiter.expires_ms - self._clock.now()
             if left_ms <= 0 and not waiter.slot.done():
--- a/seampond/forwarding/tests/test_headroom.py
+++ b/seampond/forwarding/tests/test_headroom.py
@@ -1,4 +1,4 @@
-"""How many slots requests of each rank leave reserved for others."""
+"""How many slots requests of each rank leave free for others."""
 
 import unittest
 
