--- a/seampond/watches/__init__.py
+++ b/seampond/watches/__init__.py
@@ -1,4 +1,4 @@
-"""Tables of the store, read once and followed from there."""
+"""Local copies of the store's tables, kept up to date by a change feed."""
 
 from seampond.watches.freshness import FreshnessProof as FreshnessProof
 from seampond.watches.freshness import TableFreshness as TableFreshness
--- a/seampond/watches/failures.py
+++ b/seampond/watches/failures.py
@@ -1,4 +1,4 @@
-"""The log of calls that fail one after another."""
+"""Counting and logging of failed calls to the store."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,31 +8,33 @@
 
 
 class LogEvent(Protocol):
-    """Logs an event with a detail and figures."""
+    """Logs an event with a detail and numeric fields."""
 
     def __call__(self, event: str, detail: str, **figures: int) -> None:
-        """Log it."""
+        """Log the event."""
 
 
 class FailureLog:
-    """Counts failed calls; logs each reason of a spell once, and its end.
+    """Counts failed calls and logs each change of their reason.
 
     Explanation
     -----------
-    A spell of failures may change its cause on the way: first there is no
-    path to the store, then there is one that is too narrow for an answer.
+    Consecutive failures with the same reason are logged once, and so is the
+    first success after them.
 
     Parameters
     ----------
     count : Callable[[str], None]
         Counts a failed call by its step.
+    log_event : LogEvent
+        Logs an event.
 
     """
 
     def __init__(
         self, clock: Clock, count: Callable[[str], None], log_event: LogEvent
     ) -> None:
-        """Start with no spell."""
+        """Start without failures."""
         self._clock = clock
         self._count = count
         self._log_event = log_event
@@ -40,7 +42,7 @@
         self._since_ms = 0
 
     def record_failure(self, error: PlatformError) -> None:
-        """Count a failed call; log it where its reason is another one."""
+        """Count a failed call; log it if its reason has changed."""
         self._count(error.step)
         reason = f'{type(error).__name__} {error.message}'
         if reason == self._reason:
@@ -52,7 +54,7 @@
         self._log_event('store call failed', reason, received=received)
 
     def record_success(self) -> None:
-        """Log the end of a spell, if there was one."""
+        """Log the first success after failed calls."""
         if not self._reason:
             return
         self._log_event(
--- a/seampond/watches/freshness.py
+++ b/seampond/watches/freshness.py
@@ -1,4 +1,4 @@
-"""How current a belief of a table is, proved by our own answers or others'."""
+"""How fresh the local copy of a table is, as proved by answers of the store."""
 
 import asyncio
 from collections import deque
@@ -10,21 +10,20 @@
 from seampond.watches.rows import Page, era_of
 from seampond.watches.store_clock import StoreClock
 
-# Four gateways follow the store and tell a proof with each heartbeat, 13 a
-# second at their usual pace: these are of the last two seconds.
+# Covers the proofs received in about two seconds.
 _MAX_PENDING_PROOFS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class FreshnessProof:
-    """What was known of a table at one moment of the store.
+    """Newest change of a table at one moment of the store.
 
     Parameters
     ----------
     latest_change : int
-        The version of the table's newest change at that moment.
+        Version of the table's newest change at that moment.
     store_ms : int
-        The moment, by the store's steady clock.
+        The moment by the store's monotonic clock.
 
     """
 
@@ -33,21 +32,30 @@
 
 
 class TableFreshness:
-    """Since when nothing has proved that we hold all of a table's changes.
+    """Tracks when the local copy of a table was last proved to be complete.
 
     Explanation
     -----------
-    Whoever holds all changes up to the newest that somebody else saw at some
-    moment was current at that moment too.  So one process that asks the store
-    proves it for all, by passing on its proof; and who hears of a change that
-    it does not hold knows that its own feed is late or dead.
+    A copy that has all changes up to the newest one that another process saw
+    at some moment was complete at that moment.  So the answer to one process
+    serves as a proof for all.  A proof of a change that is missing locally
+    shows that the local feed is late or dead.
 
     Parameters
     ----------
     on_proof : Callable[[int], None]
-        Told the latest moment of our clock at which we were current.
+        Called with the latest local time at which the copy was complete.
+
+    Attributes
+    ----------
     version : int
-        All changes up to here are held.
+        Version up to which all changes are held.
+    proof : FreshnessProof or None
+        Newest proof, as sent to other processes.
+    proved_ms : int
+        Latest local time at which the copy was complete.
+    proof_updated_ms : int
+        Local time of the last change of `proof`.
 
     Examples
     --------
@@ -69,33 +77,32 @@
         store_clock: StoreClock,
         on_proof: Callable[[int], None],
     ) -> None:
-        """Start with nothing held."""
+        """Start with an empty copy."""
         self.version = 0
         self.proof: FreshnessProof | None = None
         self.proved_ms = 0
-        # When there was last something to tell others.
         self.proof_updated_ms = 0
         self._store_clock = store_clock
         self._clock = clock
         self._on_proof = on_proof
         self._latest_change = 0
-        # The newest change that we have heard of and do not hold.
+        # Newest change that is reported by others but not held, 0 for none.
         self._missing_version = 0
         self._behind_since_ms = 0
         self._behind_event = asyncio.Event()
-        # Proofs of changes that we did not hold yet, the latest last.
+        # Proofs of changes that are not held yet, the latest last.
         self._pending_proofs: deque[FreshnessProof] = deque(
             maxlen=_MAX_PENDING_PROOFS
         )
 
     @property
     def is_behind(self) -> bool:
-        """Whether we have heard of a change that we do not hold."""
+        """Whether a change is known to be missing."""
         return bool(self._missing_version)
 
     @property
     def behind_ms(self) -> int:
-        """For how long we have known of a change that we do not hold."""
+        """How long a change has been known to be missing, 0 for none."""
         return (
             self._clock.now() - self._behind_since_ms
             if self._missing_version
@@ -103,28 +110,28 @@
         )
 
     def check(self, page: Page) -> None:
-        """Check that an answer belongs to its call; learn from its times.
+        """Check that an answer belongs to its call and update the store clock.
 
         Raises
         ------
         PlatformError
-            If it was meant for an earlier call.
+            If the answer belongs to an earlier call.
 
         """
         self._store_clock.update(page)
 
     def transfer_ms(self, page: Page) -> int:
-        """Give how long an answer was on its way, a little too much."""
+        """Return an upper estimate of the transfer time of an answer."""
         return page.received_ms - self._store_clock.to_local_ms(page.store_ms)
 
     def apply_page(self, page: Page) -> bool:
-        """Note an answer of the store that we hold now.
+        """Record that the rows of an answer are held.
 
         Returns
         -------
         bool
-            Whether anything proves what we hold: the answer itself, or what
-            another process told while it was on its way.
+            Whether this proves the copy complete, by the answer itself or by
+            proofs received in the meantime.
 
         """
         self.version = max(self.version, page.version)
@@ -133,7 +140,7 @@
         if self.version >= self._missing_version:
             self._missing_version = 0
             self._behind_event.clear()
-        # A whole read may be some seconds behind; a change feed is not.
+        # A snapshot may be some seconds old; the answer of a feed is not.
         if not page.is_snapshot:
             self._prove(FreshnessProof(self._latest_change, page.store_ms))
             return True
@@ -141,14 +148,14 @@
         return self._apply_pending_proofs()
 
     def apply_proof(self, proof: FreshnessProof) -> None:
-        """Take what another process knows."""
+        """Apply the proof of another process."""
         if not self.version:
             return
         if era_of(proof.latest_change) < era_of(self.version):
-            # What was newest before a restore of the store may be lost.
+            # Changes from before a restore of the store may be lost.
             return
         if proof.latest_change <= self.version:
-            # A whole read does not show what was removed: others may know.
+            # Deletions do not show in snapshots but do in proofs of others.
             self._latest_change = max(self._latest_change, proof.latest_change)
             self._prove(proof)
             return
@@ -159,14 +166,14 @@
         self._behind_event.set()
 
     def next_probe_ms(self, max_age_ms: int, max_behind_ms: int) -> int:
-        """Give when to ask the store.
+        """Return the local time at which to probe the store.
 
         Parameters
         ----------
         max_age_ms : int
-            How old a proof may be.
+            Maximum age of a proof.
         max_behind_ms : int
-            How long a change may be missing that we have heard of.
+            Maximum time for which a known change may be missing.
 
         """
         if self._missing_version:
@@ -174,7 +181,7 @@
         return self.proved_ms + max_age_ms
 
     async def wait_until_behind(self, timeout_ms: int) -> None:
-        """Wait until a change is missing, for `timeout_ms` at the most."""
+        """Wait up to `timeout_ms` until a change is known to be missing."""
         if self._missing_version:
             await self._clock.sleep(timeout_ms)
             return
@@ -183,12 +190,12 @@
                 await self._behind_event.wait()
 
     def _update_proof(self) -> None:
-        """Let others know of a change that a whole read has shown.
+        """Raise the latest change of the proof to the one of a snapshot.
 
         Explanation
         -----------
-        It proves no later moment, but what was newest at an earlier one is
-        not newer than this change, and who lacks it has to ask.
+        The proof keeps its time, but processes that lack the change learn of
+        it and probe the store.
         """
         if (
             self.proof is not None
@@ -200,12 +207,12 @@
             self.proof_updated_ms = self._clock.now()
 
     def _apply_pending_proofs(self) -> bool:
-        """Take the proofs that came before what they prove.
+        """Apply the pending proofs whose changes are held by now.
 
         Explanation
         -----------
-        Rows that are written again and again are never held in the version
-        that was told last; without these nothing would be proved meanwhile.
+        While rows change often, the copy always lags behind the latest proof,
+        but still confirms earlier ones.
         """
         confirmed = [
             proof
--- a/seampond/watches/probe.py
+++ b/seampond/watches/probe.py
@@ -1,4 +1,4 @@
-"""Ask the store again where nobody has proved of late what is newest."""
+"""Probe the store when the freshness of a table was not proved recently."""
 
 import random
 from collections.abc import Callable
@@ -9,30 +9,29 @@
 _RANK_STEP_MS = 100
 _MAX_RANK_STEPS = 8
 _RETRY_PAUSE_MS = 300
-# Longer than a feed that gathers changes may be late.
+# Longer than a feed that batches changes may lag behind.
 _MAX_BEHIND_MS = 400
-# Who does not follow has no feed to wait for; not all ask at one moment.
+# Random delay of processes without a feed, so that they do not probe at once.
 _MAX_JITTER_MS = 100
 
 
 async def probe_when_stale(
     watch: Watch, max_age_ms: int, rank: Callable[[], int], clock: Clock
 ) -> None:
-    """Probe a watch's table for as long as the process lives.
+    """Probe a watch's table whenever its freshness is not proved; never ends.
 
     Explanation
     -----------
-    A feed answers at once when something changes, but it may also be dead
-    without a sign.  One call that does not wait tells; and its proof is
-    passed on, so where there are many processes the first of them asks for
-    all.
+    A dead feed cannot be told from a table without changes, but a call that
+    does not wait can.  Its proof is relayed, so usually only the process with
+    the lowest rank has to probe.
 
     Parameters
     ----------
     max_age_ms : int
-        How old a proof may be.
+        Maximum age of a proof.
     rank : Callable[[], int]
-        How many others ask before us.
+        Returns how many processes should probe before this one.
 
     """
     freshness = watch.freshness
--- a/seampond/watches/rows.py
+++ b/seampond/watches/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a table, and the port through which they are read."""
+"""Rows of a table, their versions, and the interface to read them."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,22 +9,20 @@
 
 
 def make_version(era: int, revision: int) -> int:
-    """Give the version of a row or a table, comparable over eras.
+    """Return the version of a row or table, comparable across restores.
 
     Explanation
     -----------
-    A store that is restored from an older copy of itself gives its numbers out
-    again, for other contents, and a new era begins.  A version holds both, the
-    era above the number, so whatever is compared, passed on between gateways
-    or given as a condition is of its own era: nothing of an earlier one is
-    newer than what is read after the restore.
+    A store that is restored from a backup assigns the same revisions again, to
+    other contents.  Each restore starts a new era, and the era is held in the
+    high bits of a version, so versions from before a restore are always lower.
 
     Parameters
     ----------
     era : int
         How often the store was restored.
     revision : int
-        The store's own version.
+        Revision as counted by the store.
 
     Examples
     --------
@@ -38,7 +36,7 @@
 
 
 def era_of(version: int) -> int:
-    """Give the era of a version.
+    """Return the era of a version.
 
     Examples
     --------
@@ -50,7 +48,7 @@
 
 
 def revision_of(version: int) -> int:
-    """Give the store's own number of a version.
+    """Return the store's revision of a version.
 
     Examples
     --------
@@ -62,17 +60,19 @@
 
 
 class HistoryGoneError(PlatformError):
-    """The store no longer knows what changed since; read the table whole."""
+    """The store's history does not reach back to the requested version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row; `is_deleted` where it was removed.
+    """One row of a table.
 
     Parameters
     ----------
     version : int
-        As :func:`make_version` gives it.
+        As returned by :func:`make_version`.
+    is_deleted : bool
+        Whether the row was deleted.
 
     """
 
@@ -83,24 +83,24 @@
 
     @property
     def size(self) -> int:
-        """How many bytes it takes."""
+        """Size of key and content in bytes."""
         return len(self.key) + len(self.content)
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """What one call told of a table.
+    """Answer of the store to one read of a table.
 
     Parameters
     ----------
     version : int
-        The newest version that the store knew of, with its era.
+        Newest version of the store, as returned by :func:`make_version`.
     store_ms : int
-        The store's steady clock at the answer.
+        Store's monotonic clock at the answer.
     sent_ms, received_ms : int
-        Our clock when the call was sent and when it was answered.
+        Local clock when the call was sent and when it was answered.
     is_snapshot : bool
-        Whether these are all rows, and not only those that changed.
+        Whether `rows` are all rows and not only the changed ones.
 
     """
 
@@ -113,7 +113,7 @@
 
 
 class TableSource(Protocol):
-    """A table that can be read whole and followed."""
+    """Table that can be read as a snapshot and by its changes."""
 
     name: str
 
@@ -121,4 +121,4 @@
         """Read all rows."""
 
     async def read_changes(self, since: int, wait_ms: int) -> Page:
-        """Wait for rows that changed after version `since`."""
+        """Wait up to `wait_ms` for changes after version `since`."""
--- a/seampond/watches/store_clock.py
+++ b/seampond/watches/store_clock.py
@@ -1,4 +1,4 @@
-"""The store's steady clock against ours."""
+"""Conversion between the store's monotonic clock and the local one."""
 
 import math
 
@@ -7,13 +7,13 @@
 
 
 class StoreClock:
-    """Sets the store's steady clock against ours.
+    """Estimates the offset of the store's monotonic clock.
 
     Explanation
     -----------
-    An answer was given after its call was sent and before it came, so the
-    difference of the clocks lies between two bounds that each answer makes
-    narrower.  An answer outside them belongs to another call.
+    The store answers between the sending of a call and the receipt of its
+    answer, so each answer narrows the bounds on the offset.  An answer outside
+    the bounds belongs to another call.
 
     Examples
     --------
@@ -26,17 +26,17 @@
     """
 
     def __init__(self) -> None:
-        """Start with no answer seen."""
+        """Start with an unbounded offset."""
         self._max_offset_ms = math.inf
         self._min_offset_ms = -math.inf
 
     def update(self, page: Page) -> None:
-        """Learn from an answer.
+        """Narrow the bounds by an answer.
 
         Raises
         ------
         PlatformError
-            If the answer is older than the call.
+            If the answer was given before its call.
 
         """
         max_offset_ms = page.store_ms - page.sent_ms
@@ -47,11 +47,11 @@
         self._min_offset_ms = max(self._min_offset_ms, min_offset_ms)
 
     def to_local_ms(self, store_ms: int) -> int:
-        """Give a moment of our clock that is not after the store's."""
+        """Return the earliest local time that `store_ms` can stand for."""
         return store_ms - round(self._max_offset_ms)
 
     def to_store_ms(self, local_ms: int) -> int:
-        """Give a moment of the store's clock that is not before ours.
+        """Return the latest store time that `local_ms` can stand for.
 
         Examples
         --------
--- a/seampond/watches/watch.py
+++ b/seampond/watches/watch.py
@@ -1,4 +1,4 @@
-"""Follow one table for as long as the process lives."""
+"""Watch that keeps a local copy of one table up to date."""
 
 import asyncio
 import logging
@@ -18,75 +18,74 @@
 )
 
 _MIN_RETRY_PAUSE_MS = 100
-# How long who need not follow waits until it looks again, and how long after a
-# start nobody can know yet who follows.
 _IDLE_POLL_MS = 500
+# Time after a start until the followers are known.
 _STARTUP_DELAY_MS = 1000
-# A process that the store turns away, while others prove to it that nothing
-# has changed, has little to gain from asking: six such of 18 made half of all
-# calls of a day.
+# While proofs of other processes are this recent, failed calls are repeated
+# only rarely.
 _RECENT_PROOF_MS = 2500
 _PROVED_RETRY_PAUSE_MS = 3000
-# A feed tells each change since the version that is held, a whole read each row
-# once.  After a cut of 12 s of a table of one row, written some 35 times, a
-# feed's answer had not ended after 0.9 s and 0.5 MB; a read took 0.04 s.
+# After an outage of this length a small table is read as a snapshot, since the
+# feed sends each change of a row and a snapshot each row once.
 _SNAPSHOT_AFTER_MS = 2000
 _SMALL_TABLE_ROWS = 100
-# Of a table of so few rows a whole read tells no more than a feed does, and
-# versions that are written faster than a link carries them make each answer of
-# a feed longer than the one before: rows of 420 KB, written each 0.3 s, were
-# held up to 3.8 s after they were written over 5 Mbit/s, 1.6 s now (the worst
-# in 40 s of virtual time, test_narrow_links.py).
+# Up to this many rows snapshots replace the feed while rows are written faster
+# than the link can transfer their changes.
 _TINY_TABLE_ROWS = 4
 _SLOW_TRANSFER_MS = 250
 _logger = logging.getLogger(__name__)
 
 
 def _always() -> bool:
-    """Follow the table whoever else does."""
+    """Follow the feed regardless of other processes."""
     return True
 
 
 def _unscaled() -> float:
-    """Ask as often as if there were few."""
+    """Leave the pauses as they are."""
     return 1
 
 
 def _ignore_page(since: int, page: Page) -> None:
-    """Pass nothing on."""
+    """Relay nothing."""
 
 
 @dataclass
 class Watch:
-    """Keeps what we believe of one table near to what it holds.
+    """Reads one table and follows its changes.
 
     Parameters
     ----------
+    source : TableSource
+        Table whose changes are followed.
     probe_source : TableSource
-        The same table, on connections of its own.
+        The same table on separate connections.
     apply : Callable[[Page], None]
-        Takes each answer in order; versions never go back.
+        Applies each answer; versions never decrease.
     wait_ms : int
         How long the store holds a call while nothing changes.
     count_failure : Callable[[str], None]
         Counts a failed call by its step.
     freshness : TableFreshness
-        What is held, and since when that is proved.
+        Version held, and when it was last proved to be the newest.
     max_retry_pause_ms : int
-        The longest pause between two calls that fail.
+        Maximum pause after failed calls.
     batch_pause_ms : int
-        How long to wait after a change before the next are asked for, so
-        that many at once come in one answer.
+        Pause after a change, so that further changes come in one answer.
     interval_factor : Callable[[], float]
-        By how much that pause is longer where many others ask too.
+        Factor on `max_retry_pause_ms` in a large fleet.
     is_follower : Callable[[], bool]
-        Whether we have to follow the table; if not, others pass its changes
-        on, and we ask where something is missing or nothing was proved.
+        Whether this process follows the feed.  If not, other processes relay
+        the changes, and only missing changes and proofs are read.
     confirms_snapshot : bool
-        Whether a whole read is followed by a call that proves it at once.
+        Whether a snapshot is confirmed at once by another call.
     relay : Callable[[int, Page], None]
-        Told what nobody else had told of: the version that was held, and the
-        answer with what came after it.
+        Called with the version held before and an answer that brings changes
+        not known from other processes.
+    is_loaded : bool
+        Whether a snapshot has been applied and can be continued by changes.
+    is_unconfirmed : bool
+        Whether the snapshot may be older than the table.
 
     """
 
@@ -108,28 +107,28 @@
     _feed_timeout: asyncio.Timeout | None = None
     _is_suspect: bool = False
     _is_failing: bool = False
-    # Set where asking for the same changes again cannot succeed.
+    # Set where repeating the call for changes cannot succeed.
     _needs_snapshot: bool = False
-    # Set while rows are written faster than a feed's answers come.
+    # Set while rows are written faster than the feed transfers them.
     _is_overloaded: bool = False
-    # Whether the newest rows were long on their way.
+    # Whether the transfer of the newest rows took long.
     _is_slow_transfer: bool = False
     _row_count: int = 0
     _failures: FailureLog = field(init=False)
 
     def __post_init__(self) -> None:
-        """Start with no call failed."""
+        """Set up the log of failed calls."""
         self._failures = FailureLog(
             self.clock, self.count_failure, self._log_event
         )
 
     @property
     def is_failing(self) -> bool:
-        """Whether our own calls to the store fail."""
+        """Whether the last call to the store failed."""
         return self._is_failing
 
     async def run(self) -> None:
-        """Follow the table; never ends by itself."""
+        """Follow the table until cancelled."""
         pause_ms = _MIN_RETRY_PAUSE_MS
         while True:
             await self._wait_for_turn()
@@ -152,13 +151,12 @@
             pause_ms = min(self._max_pause_ms, pause_ms * 2)
 
     async def probe(self) -> bool:
-        """Make one call beside the feed; tell whether its answer was taken.
+        """Make one call besides the feed; return True if it was applied.
 
         Explanation
         -----------
-        Not while the feed fails and asks again by itself: each call is priced.
-        Nor while it reads one large version after another, for which a second
-        reader would leave half of the link.
+        Skipped while the feed fails and repeats its calls anyway, and while it
+        is overloaded, since a probe would take half of the link.
         """
         if self._is_failing or self._is_overloaded or not self.is_loaded:
             return False
@@ -168,9 +166,9 @@
             is_fresh = self._accept(page, since)
         except PlatformError as error:
             self._record_failure(error)
-            # The feed's own call may hang as well, and longer.
+            # The pending call of the feed may hang as well.
             self._is_suspect = True
-            # Who does not follow asks on at the feed's growing pauses.
+            # Without a feed, the call is repeated at growing pauses.
             self._is_failing = not self.is_follower()
             return False
         self._failures.record_success()
@@ -180,12 +178,12 @@
         return is_fresh
 
     def apply_relayed(self, since: int, page: Page) -> None:
-        """Take an answer that another process passes on.
+        """Apply an answer that another process relays.
 
         Explanation
         -----------
-        Only if it begins at what we hold or before; else a change between
-        may be missing, and what it proves makes us ask.
+        Ignored if changes between the version held and the answer may be
+        missing; the proof in the same heartbeat then leads to a probe.
         """
         version = self.freshness.version
         if not self.is_loaded or not since <= version < page.version:
@@ -195,13 +193,12 @@
             self.freshness.apply_page(page)
 
     async def _wait_for_turn(self) -> None:
-        """Wait while there is nothing that we have to ask the feed.
+        """Wait until this process has to call the feed.
 
         Explanation
         -----------
-        Each call to the store is priced and each change would be one answer
-        to each process: of 2,347 calls of 68 processes in 37 s four in five
-        told what the first few had been told already.
+        Most processes receive the changes from a few followers, which saves
+        calls to the store.
         """
         if self.is_unconfirmed and not self.confirms_snapshot:
             await self.clock.sleep(_STARTUP_DELAY_MS)
@@ -216,7 +213,7 @@
         return self._is_overloaded or self.is_follower()
 
     async def _poll(self) -> bool:
-        """Make one call; tell whether its answer was fresh."""
+        """Make one call to the feed; return True if its answer was applied."""
         self._feed_timeout = asyncio.timeout(None)
         since = self.freshness.version
         try:
@@ -237,13 +234,12 @@
         return await source.read_changes(self.freshness.version, wait_ms)
 
     async def _read_probe(self) -> Page:
-        """Read beside the feed, without waiting.
+        """Read besides the feed, without waiting.
 
         Explanation
         -----------
-        A change that others told of without its rows is too large for a
-        datagram, and so may be what has been written since; and where the
-        versions of a large row come slowly, nobody may have told for long.
+        A change that is known but was not relayed is too large for a datagram.
+        Of a tiny table with large rows a snapshot is the shorter answer.
         """
         is_large = self.freshness.is_behind or self._is_slow_transfer
         if is_large and self._row_count <= _TINY_TABLE_ROWS:
@@ -256,19 +252,14 @@
 
         Explanation
         -----------
-        A read may be behind, and after an outage nothing is proved: what
-        follows is asked for at once.
+        After a snapshot or an outage the call must return at once, since
+        nothing proves that the copy is complete.
         """
         return 0 if self.is_unconfirmed or self._is_failing else self.wait_ms
 
     @property
     def _prefers_snapshot(self) -> bool:
-        """Whether all changes since what we hold may be too much for a call.
-
-        Explanation
-        -----------
-        The longer we are behind the more a feed has to tell.
-        """
+        """Whether the changes since the version held may be too many."""
         if self._needs_snapshot or self._is_overloaded:
             return True
         is_small = self._row_count <= _SMALL_TABLE_ROWS
@@ -277,12 +268,12 @@
 
     @property
     def _max_pause_ms(self) -> int:
-        """The longest pause between two calls that fail just now.
+        """Current maximum of the pause after failed calls.
 
         Explanation
         -----------
-        The first answer after an outage is passed on to all, so the more ask,
-        the more seldom each has to.
+        The first answer after an outage is relayed to all processes, so each
+        of them may retry less often the more there are.
         """
         longest_ms = round(self.max_retry_pause_ms * self.interval_factor())
         if self._is_proved_by_others:
@@ -291,30 +282,30 @@
 
     @property
     def _is_proved_by_others(self) -> bool:
-        """Whether others prove that nothing is missing while our calls fail."""
+        """Whether recent proofs of other processes show a complete copy."""
         age_ms = self.clock.now() - self.freshness.proved_ms
         return not self.freshness.is_behind and age_ms < _RECENT_PROOF_MS
 
     async def _pause(self, pause_ms: float) -> None:
-        """Wait after a failed call; no longer, should a change be missing."""
+        """Wait after a failed call, at most until a change is missing."""
         if self._is_proved_by_others:
             await self.freshness.wait_until_behind(round(pause_ms))
         else:
             await self.clock.sleep(min(pause_ms, self._max_pause_ms))
 
     def _record_failure(self, error: PlatformError) -> None:
-        """Note a failed call, and whether the same one can succeed at all."""
+        """Record a failed call and whether repeating it can succeed."""
         self._failures.record_failure(error)
         if isinstance(error, (CutAnswerError, HistoryGoneError)):
             self._needs_snapshot = True
 
     def _cancel_poll(self) -> None:
-        """End the call that is under way, if there is any."""
+        """Cancel the pending call of the feed, if there is one."""
         if self._feed_timeout is not None:
             self._feed_timeout.reschedule(asyncio.get_running_loop().time())
 
     def _accept(self, page: Page, since: int) -> bool:
-        """Take an answer unless it is old; tell whether it was fresh."""
+        """Apply an answer unless it is stale; return True if it was applied."""
         is_new_change = not page.is_snapshot and not self.freshness.is_behind
         self.freshness.check(page)
         if page.version < self.freshness.version:
@@ -331,7 +322,7 @@
         return self.is_loaded
 
     def _record_size(self, page: Page, since: int) -> None:
-        """Note that an answer came to its end, and how large the table is."""
+        """Record the size of an answer and the load that it shows."""
         self._needs_snapshot = False
         if page.is_snapshot:
             self._row_count = len(page.rows)
@@ -349,12 +340,12 @@
         )
 
     def _try_apply(self, page: Page) -> bool:
-        """Hand an answer on; a fault there must not end the watch."""
+        """Apply an answer; an exception there must not end the watch."""
         try:
             self.apply(page)
         except Exception:
             _logger.exception(
-                'answer not taken',
+                'answer not applied',
                 extra={'table': self.source.name, 'version': page.version},
             )
             return False
