--- a/seampond/__init__.py
+++ b/seampond/__init__.py
@@ -1,1 +1,1 @@
-"""Seampond: a request scheduler for unlike engines."""
+"""Seampond: a request scheduler for heterogeneous engines."""
--- a/seampond/__main__.py
+++ b/seampond/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m seampond`."""
+"""Command line entry point: `python -m seampond`."""
 
 from seampond.operators.main import main
 
--- a/seampond/clock.py
+++ b/seampond/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the project, in milliseconds."""
+"""Monotonic clocks in milliseconds."""
 
 import asyncio
 import time
@@ -12,41 +12,40 @@
 NS_PER_SECOND = 1_000_000_000
 
 
-# The steady clock stands still while a machine is suspended, and then a proof,
-# a lease or a quota's window would look younger than it is.
-_STEADY = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
-COUNTS_SUSPENSION = _STEADY != time.CLOCK_MONOTONIC
+# CLOCK_MONOTONIC stops while the machine is suspended, so that proofs, leases
+# and quota windows would seem younger than they are.
+_CLOCK_ID = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
+COUNTS_SUSPENSION = _CLOCK_ID != time.CLOCK_MONOTONIC
 
 
 def read_steady_ns() -> int:
-    """Give nanoseconds since some moment, those of a suspension counted."""
-    return time.clock_gettime_ns(_STEADY)
+    """Return monotonic nanoseconds, including suspended time."""
+    return time.clock_gettime_ns(_CLOCK_ID)
 
 
 def read_awake_ns() -> int:
-    """Give nanoseconds since some moment while the machine was awake."""
+    """Return monotonic nanoseconds without suspended time."""
     return time.monotonic_ns()
 
 
-def _steady_ms() -> int:
+def _read_steady_ms() -> int:
     return read_steady_ns() // NS_PER_MS
 
 
 @dataclass(frozen=True)
 class Clock:
-    """A monotonic source of time and the sleep that belongs to it.
+    """A monotonic clock and the matching sleep.
 
     Explanation
     -----------
-    Every module takes its time from a clock that it is handed, so that a
-    test can hand it a :class:`ManualClock` and decide what time it is.  Where
-    the platform has such a clock, the time counts in which the machine was
-    suspended.
+    Modules get their clock passed in, so that tests can use a
+    :class:`ManualClock`.  Suspended time is included if the platform has a
+    clock that counts it.
 
     Parameters
     ----------
     now : Callable[[], int]
-        Milliseconds since some fixed, unknown moment; never goes back.
+        Returns milliseconds since an arbitrary moment; never decreases.
 
     Examples
     --------
@@ -56,15 +55,15 @@
 
     """
 
-    now: Callable[[], int] = _steady_ms
+    now: Callable[[], int] = _read_steady_ms
 
     async def sleep(self, duration_ms: float) -> None:
-        """Wait for `duration_ms` milliseconds."""
+        """Sleep for `duration_ms` milliseconds."""
         await asyncio.sleep(duration_ms / MS_PER_SECOND)
 
 
 class ManualClock(Clock):
-    """A clock that stands still until it is told to advance.
+    """A clock that only moves when it is advanced.
 
     Examples
     --------
@@ -81,5 +80,5 @@
         super().__init__(now=lambda: self._at_ms)
 
     def advance(self, duration_ms: int) -> None:
-        """Move the time on by `duration_ms` milliseconds."""
+        """Advance the time by `duration_ms` milliseconds."""
         self.__dict__['_at_ms'] = self._at_ms + duration_ms
--- a/seampond/errors.py
+++ b/seampond/errors.py
@@ -1,17 +1,17 @@
-"""The tree of errors; each carries the step and the peer of its origin."""
+"""Exception hierarchy; each error carries its step and peer."""
 
 
 class SeampondError(Exception):
-    """Base of every error that seampond raises on purpose.
+    """Base class of all errors raised by seampond.
 
     Parameters
     ----------
     message : str
-        What went wrong and what to do about it.
+        What went wrong and how to fix it.
     step : str
-        The step of the work at which the error arose.
+        The step at which the error occurred.
     peer : str
-        The other side: an address, a name, or empty for none.
+        Address or name of the remote side, empty for none.
 
     Examples
     --------
@@ -21,14 +21,14 @@
     """
 
     def __init__(self, message: str, *, step: str, peer: str = '') -> None:
-        """Keep the three parts apart for logs and counters."""
+        """Initialize the error."""
         super().__init__(message)
         self.message = message
         self.step = step
         self.peer = peer
 
     def __str__(self) -> str:
-        """Give the message with its step and peer."""
+        """Return the message with its step and peer."""
         where = f'step {self.step}'
         if self.peer:
             where = f'{where}, peer {self.peer}'
@@ -36,7 +36,7 @@
 
 
 class SettingsError(SeampondError):
-    """A settings file can't be used; the message names key and cure."""
+    """A settings file is invalid."""
 
 
 class LinkError(SeampondError):
@@ -44,15 +44,15 @@
 
 
 class ForeignMessageError(LinkError):
-    """The other side of a link sent what is not our protocol."""
+    """The peer of a link sent data that violates the protocol."""
 
 
 class UntrustedPeerError(LinkError):
-    """The other side of a link did not prove the shared secret."""
+    """The peer of a link failed to authenticate."""
 
 
 class EngineError(SeampondError):
-    """A backend server failed or answered what it must not."""
+    """A backend server failed or sent an invalid answer."""
 
 
 class PlatformError(SeampondError):
@@ -60,30 +60,30 @@
 
 
 class UnknownOutcomeError(PlatformError):
-    """A write may or may not have taken effect: read it back."""
+    """A write may or may not have taken effect."""
 
 
 class CutAnswerError(UnknownOutcomeError):
-    """An answer had begun to come and did not end.
+    """An answer was truncated.
 
     Parameters
     ----------
     received : int
-        How many bytes of its body had come.
+        Number of bytes of its body that were received.
 
     """
 
     def __init__(
         self, message: str, *, step: str, peer: str, received: int
     ) -> None:
-        """Keep how much had come."""
+        """Initialize the error."""
         super().__init__(message, step=step, peer=peer)
         self.received = received
 
 
 class ConflictError(PlatformError):
-    """A conditional write met a row that had changed."""
+    """A conditional write failed because the row had changed."""
 
 
 class PromiseError(SeampondError):
-    """The program found one of its own promises broken."""
+    """A promise would have been broken."""
--- a/seampond/logs.py
+++ b/seampond/logs.py
@@ -1,4 +1,4 @@
-"""One structured line for each decision, on standard output."""
+"""Structured logging as JSON lines, bounded and non-blocking."""
 
 import logging
 import queue
@@ -13,48 +13,47 @@
 from pythonjsonlogger.json import JsonFormatter
 
 _FORMAT = '%(asctime)s %(levelname)s %(name)s %(message)s'
-_RENAMED = (
+_RENAMED_FIELDS = (
     ('asctime', 'time'),
     ('levelname', 'level'),
     ('name', 'logger'),
     ('message', 'event'),
 )
-_LINES_MAX = 2000
-_ROUTINE_MAX = 1000
-_ROUTINE_PER_SECOND = 300
-_END_SECONDS = 0.5
+_QUEUE_MAX_LINES = 2000
+_ROUTINE_QUEUE_MAX_LINES = 1000
+_ROUTINE_LINES_PER_SECOND = 300
+_CLOSE_TIMEOUT_SECONDS = 0.5
 
 
 class LineRateLimiter(logging.Filter):
-    """Lets so many lines of one kind through in a second.
+    """Limits the rate of routine lines.
 
     Explanation
     -----------
-    Routine lines (below `WARNING`) are bounded for each event; failures are
-    not, so that under load they keep their lines.  What is dropped is told
-    with the first line of a later second.
+    Lines below `WARNING` are limited for each event; warnings and errors are
+    not.  The number of dropped lines is added to a later line.
 
     Examples
     --------
-    >>> budget = LineRateLimiter(2, lambda: 7.0)
+    >>> rate_limiter = LineRateLimiter(2, lambda: 7.0)
     >>> record = logging.LogRecord('x', 20, '', 0, 'served', None, None)
-    >>> [budget.filter(record) for _ in range(3)]
+    >>> [rate_limiter.filter(record) for _ in range(3)]
     [True, True, False]
 
     """
 
     def __init__(self, per_second: int, now: Callable[[], float]) -> None:
-        """Start with nothing dropped."""
+        """Initialize the filter."""
         super().__init__()
         self.dropped = 0
         self._per_second = per_second
         self._now = now
         self._second = 0
         self._counts: Counter[str] = Counter()
-        self._untold = 0
+        self._unreported = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Tell whether this line is written."""
+        """Return whether the line may be written."""
         second = int(self._now())
         if second != self._second:
             self._second = second
@@ -67,79 +66,81 @@
         return True
 
     def take_unreported_count(self) -> int:
-        """Give how many lines were dropped since this was asked last."""
-        untold = self._untold
-        self._untold = 0
-        return untold
+        """Return the number of lines dropped since the last call."""
+        unreported = self._unreported
+        self._unreported = 0
+        return unreported
 
     def record_dropped(self) -> None:
-        """Count a line that is not written."""
+        """Record a dropped line."""
         self.dropped += 1
-        self._untold += 1
+        self._unreported += 1
 
 
 class BoundedQueueHandler(QueueHandler):
-    """Hands lines to a thread that writes them; never waits for it.
+    """Passes records to the writing thread without blocking.
 
     Explanation
     -----------
-    The reader of our output may stall.  Then the queue fills: routine lines
-    are dropped at half of it, failures at its end.
+    If the reader of the output stalls, routine lines are dropped once the
+    queue is half full, warnings and errors once it is full.
     """
 
     def __init__(
         self,
         lines: 'queue.Queue[logging.LogRecord | None]',
-        budget: LineRateLimiter,
+        rate_limiter: LineRateLimiter,
     ) -> None:
-        """Keep the queue."""
+        """Initialize the handler."""
         super().__init__(lines)
-        self.addFilter(budget)
-        # The thread formats; here only the message is put together.
+        self.addFilter(rate_limiter)
+        # The thread formats the line; only the message is formatted here.
         self.setFormatter(logging.Formatter('%(message)s'))
         self._lines = lines
-        self._budget = budget
+        self._rate_limiter = rate_limiter
 
     @property
     def dropped(self) -> int:
-        """How many lines were not written."""
-        return self._budget.dropped
+        """The number of lines that were dropped."""
+        return self._rate_limiter.dropped
 
     @property
     def is_drained(self) -> bool:
-        """Whether no line waits to be written."""
+        """Whether the queue is empty."""
         return self._lines.empty()
 
     def enqueue(self, record: logging.LogRecord) -> None:
-        """Put a line on the queue, or drop it."""
+        """Put a record on the queue, or drop it."""
         is_routine = record.levelno < logging.WARNING
-        if is_routine and self._lines.qsize() > _ROUTINE_MAX:
-            self._budget.record_dropped()
+        if is_routine and self._lines.qsize() > _ROUTINE_QUEUE_MAX_LINES:
+            self._rate_limiter.record_dropped()
             return
         if self._lines.full():
-            self._budget.record_dropped()
+            self._rate_limiter.record_dropped()
             return
-        untold = self._budget.take_unreported_count()
-        if untold:
-            record.dropped_lines = untold
+        unreported = self._rate_limiter.take_unreported_count()
+        if unreported:
+            record.dropped_lines = unreported
         self._lines.put_nowait(record)
 
 
 class LogWriter:
-    """Writes the lines of this process, in a thread of its own."""
+    """Writes the log of this process in a separate thread."""
 
     def __init__(self, stream: TextIO, process: str = '') -> None:
-        """Start the thread; each line names the process."""
+        """Start the thread."""
         lines: queue.Queue[logging.LogRecord | None]
-        lines = queue.Queue(_LINES_MAX)
-        budget = LineRateLimiter(_ROUTINE_PER_SECOND, time.monotonic)
-        self.handler = BoundedQueueHandler(lines, budget)
+        lines = queue.Queue(_QUEUE_MAX_LINES)
+        rate_limiter = LineRateLimiter(
+            _ROUTINE_LINES_PER_SECOND, time.monotonic
+        )
+        self.handler = BoundedQueueHandler(lines, rate_limiter)
         self._lines = lines
         self._target = logging.StreamHandler(stream)
         self._target.setFormatter(
             JsonFormatter(
                 _FORMAT,
-                rename_fields=dict(_RENAMED),
+                rename_fields=dict(_RENAMED_FIELDS),
                 static_fields={'process': process},
                 timestamp=False,
             )
@@ -148,12 +149,12 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Write what is left, if the reader takes it in time."""
+        """Write the queued lines and stop, within a time limit."""
         try:
             self._lines.put_nowait(None)
         except queue.Full:
             return
-        self._thread.join(_END_SECONDS)
+        self._thread.join(_CLOSE_TIMEOUT_SECONDS)
 
     def _write(self) -> None:
         while True:
@@ -166,26 +167,26 @@
 def set_up_logs(
     level: str, stream: TextIO | None = None, process: str = ''
 ) -> LogWriter:
-    """Log JSON lines of `level` and above.
+    """Set up logging of JSON lines.
 
     Parameters
     ----------
     level : str
-        A name that `logging` knows, for example ``INFO``.
+        Lowest level to log, for example ``INFO``.
     stream : TextIO or None
-        Where to; standard output by default.
+        Output stream; standard output by default.
     process : str
-        The name that each line carries.
+        Name of the process, added to each line.
 
     Returns
     -------
     LogWriter
-        To be closed at the end of the process.
+        The writer, to be closed at the end of the process.
 
     """
     writer = LogWriter(stream or sys.stdout, process)
     logging.basicConfig(level=level, handlers=[writer.handler], force=True)
-    # The library logs each transition; our own lines say what changed.
+    # These libraries log what seampond logs itself.
     logging.getLogger('transitions').setLevel(logging.WARNING)
     logging.getLogger('uvicorn').setLevel(logging.CRITICAL)
     return writer
--- a/seampond/metrics/agent.py
+++ b/seampond/metrics/agent.py
@@ -1,4 +1,4 @@
-"""What an agent counts."""
+"""Metrics of agents."""
 
 from prometheus_client import Gauge
 
@@ -9,7 +9,7 @@
     """The metrics of one agent."""
 
     def __init__(self) -> None:
-        """Register everything."""
+        """Register the metrics."""
         super().__init__()
         self.dispatches = self.count(
             'seampond_dispatches',
--- a/seampond/metrics/common.py
+++ b/seampond/metrics/common.py
@@ -1,4 +1,4 @@
-"""What every role counts."""
+"""Metrics shared by all roles."""
 
 from prometheus_client import CollectorRegistry, Counter, ProcessCollector
 
@@ -8,7 +8,7 @@
 
 
 def counts_by_labels(counter: Counter) -> dict[str, float]:
-    """Give the totals of a counter by its label values.
+    """Return the totals of a counter by its label values.
 
     Examples
     --------
@@ -27,10 +27,10 @@
 
 
 class CommonMetrics:
-    """The metrics of one process, in a registry of their own."""
+    """The metrics of one process, in a separate registry."""
 
     def __init__(self) -> None:
-        """Register what all roles share."""
+        """Register the shared metrics."""
         self.registry = CollectorRegistry()
         ProcessCollector(registry=self.registry)
         self.violations = self.count(
--- a/seampond/metrics/entry.py
+++ b/seampond/metrics/entry.py
@@ -1,4 +1,4 @@
-"""What an entry counts."""
+"""Metrics of entries."""
 
 from prometheus_client import Gauge, Histogram
 
@@ -9,7 +9,7 @@
     """The metrics of one entry."""
 
     def __init__(self) -> None:
-        """Register everything."""
+        """Register the metrics."""
         super().__init__()
         self.requests = self.count(
             'seampond_requests',
--- a/seampond/metrics/gateway.py
+++ b/seampond/metrics/gateway.py
@@ -1,4 +1,4 @@
-"""What a gateway counts."""
+"""Metrics of gateways."""
 
 from prometheus_client import Gauge, Histogram
 
@@ -9,7 +9,7 @@
     """The metrics of one gateway."""
 
     def __init__(self) -> None:
-        """Register everything."""
+        """Register the metrics."""
         super().__init__()
         self.requests = self.count(
             'seampond_gateway_requests',
@@ -85,6 +85,6 @@
             registry=self.registry,
         )
 
-    def record_suspension(self, away_ms: int) -> None:
-        """Count the time in which the machine was suspended."""
-        self.suspended.inc(away_ms)
+    def record_suspension(self, duration_ms: int) -> None:
+        """Count suspended time."""
+        self.suspended.inc(duration_ms)
--- a/seampond/page_routes.py
+++ b/seampond/page_routes.py
@@ -1,4 +1,4 @@
-"""The operators' pages as routes of a larger web application."""
+"""Starlette routes of the operators' pages."""
 
 from starlette.requests import Request
 from starlette.responses import Response
@@ -8,7 +8,7 @@
 
 
 def make_page_routes(pages: Pages) -> list[Route]:
-    """Give a route for each page."""
+    """Return a route for each page."""
 
     async def show(request: Request) -> Response:
         page = render_page(pages, request.url.path)
--- a/seampond/pages.py
+++ b/seampond/pages.py
@@ -1,4 +1,4 @@
-"""The pages that every daemon serves to operators and the balancer."""
+"""Health, status and metrics pages of the daemons."""
 
 import json
 from collections.abc import Callable
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True)
 class Pages:
-    """What the pages show.
+    """Sources of the page contents.
 
     Parameters
     ----------
     ready_path : str
-        Where the balancer asks whether callers are to be sent here.
+        Path of the readiness check of the balancer.
 
     """
 
@@ -33,13 +33,13 @@
 
     @property
     def paths(self) -> tuple[str, ...]:
-        """Where the pages lie."""
+        """The paths of the pages."""
         return ('/metrics', '/healthz', self.ready_path, '/status')
 
 
 @dataclass(frozen=True, slots=True)
 class RenderedPage:
-    """One page as it is answered."""
+    """A rendered page."""
 
     body: bytes
     media_type: str = _TEXT
@@ -47,7 +47,7 @@
 
 
 def render_page(pages: Pages, path: str) -> RenderedPage:
-    """Give the page at a path; any other path is not found."""
+    """Return the page at a path; unknown paths give 404."""
     if path == pages.ready_path:
         if pages.is_ready():
             return RenderedPage(b'ready\n')
--- a/seampond/promises/__init__.py
+++ b/seampond/promises/__init__.py
@@ -1,4 +1,4 @@
-"""The rules that must always hold, asserted while the program runs."""
+"""Invariants that are checked at run time."""
 
 from seampond.promises.rules import Promises as Promises
 from seampond.promises.rules import Rule as Rule
--- a/seampond/promises/rules.py
+++ b/seampond/promises/rules.py
@@ -1,4 +1,4 @@
-"""The rules and what happens when one is found broken."""
+"""Rules, and the checks that enforce them."""
 
 import enum
 import logging
@@ -11,7 +11,7 @@
 
 @enum.unique
 class Rule(enum.Enum):
-    """What the users were promised; the value is the metric's label."""
+    """A promise to users; the value is a metric label."""
 
     single_grant = 'single-grant'
     single_dispatch = 'single-dispatch'
@@ -32,12 +32,12 @@
 
 
 class Promises:
-    """Checks rules; counts, logs and raises each violation.
+    """Checks rules; counts, logs and raises violations.
 
     Parameters
     ----------
     count : Callable[[str], None]
-        Counts one violation of the named rule.
+        Counts a violation by the name of its rule.
 
     Examples
     --------
@@ -47,14 +47,14 @@
     """
 
     def __init__(self, count: Callable[[str], None]) -> None:
-        """Start with no violation seen."""
+        """Initialize with no violations."""
         self._count = count
-        self._broken = 0
+        self._violation_count = 0
 
     @property
     def broken(self) -> int:
-        """How many violations this process has seen."""
-        return self._broken
+        """The number of violations in this process."""
+        return self._violation_count
 
     def check(
         self, rule: Rule, holds: bool, *, step: str, peer: str = ''
@@ -63,8 +63,8 @@
 
         Explanation
         -----------
-        The check stands before the act that would break the rule, so that
-        raising also prevents the act.
+        Checks are made before the action, so that the exception prevents a
+        violation.
 
         Raises
         ------
@@ -74,7 +74,7 @@
         """
         if holds:
             return
-        self._broken += 1
+        self._violation_count += 1
         self._count(rule.value)
         _logger.error(
             'promise broken',
--- a/seampond/run.py
+++ b/seampond/run.py
@@ -1,4 +1,4 @@
-"""Run a role until it is told to stop."""
+"""Run a daemon until it is signalled to stop."""
 
 import asyncio
 import logging
@@ -15,16 +15,16 @@
 Run = Callable[..., AbstractAsyncContextManager[Any]]
 
 
-async def _nothing() -> None:
-    """Drain a role that has nothing to finish."""
+async def _drain_nothing() -> None:
+    """Return at once: the daemon has nothing to drain."""
 
 
-def _nothing_yet() -> None:
-    """Take a signal that comes before we run."""
+def _ignore_signal() -> None:
+    """Ignore a signal that arrives during the start."""
 
 
 def _reload(running: Any, read_settings: Callable[[], Any]) -> None:
-    """Take changed settings; bad ones are told, and the old ones stay."""
+    """Apply changed settings; keep the old ones if they are invalid."""
     try:
         settings = read_settings()
     except SeampondError as error:
@@ -40,31 +40,31 @@
 async def run_daemon(
     run: Run, settings: Any, read_settings: Callable[[], Any]
 ) -> None:
-    """Run a role until SIGTERM or SIGINT, then stop it as planned.
+    """Run a daemon until SIGTERM or SIGINT, then drain it.
 
     Explanation
     -----------
-    A second signal while draining changes nothing: what runs finishes.
-    SIGHUP reads the settings again and cuts nothing.
+    Further signals do not interrupt the draining.  SIGHUP reloads the
+    settings.
 
     Parameters
     ----------
     read_settings : Callable[[], Any]
-        Reads the settings file; raises `SettingsError` for bad ones.
+        Reads the settings file; raises `SettingsError` if it is invalid.
 
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    # Until we run there is nothing to reload, but the signal must not kill.
-    loop.add_signal_handler(signal.SIGHUP, _nothing_yet)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    # By default SIGHUP would end the process during the start.
+    loop.add_signal_handler(signal.SIGHUP, _ignore_signal)
     async with run(settings, Clock()) as running:
         loop.add_signal_handler(signal.SIGHUP, _reload, running, read_settings)
         _logger.info('ready', extra={'listen': settings.listen})
         await stop.wait()
         _logger.info('planned stop')
         drain: Callable[[], Awaitable[None]]
-        drain = getattr(running, 'drain', _nothing)
+        drain = getattr(running, 'drain', _drain_nothing)
         await drain()
     _logger.info('stopped')
--- a/seampond/suspension.py
+++ b/seampond/suspension.py
@@ -1,4 +1,4 @@
-"""Machines that are suspended for a while, and go on where they were."""
+"""Handling of suspended machines."""
 
 import asyncio
 import logging
@@ -7,46 +7,47 @@
 from seampond import clock as clocks
 from seampond.clock import NS_PER_MS, NS_PER_SECOND, Clock
 
-_LOOK_MS = 1000
-# Two clocks read one after the other differ by less.
-_LEAST_MS = 50
+_POLL_INTERVAL_MS = 1000
+# Exceeds the time between the readings of the two clocks.
+_MIN_SUSPENSION_MS = 50
 _logger = logging.getLogger(__name__)
 
 
 class SuspensionAwareLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count the time of a suspension.
+    """An event loop whose timers count suspended time.
 
     Explanation
     -----------
-    The timers of a usual loop stand still with the machine: a time-out of
-    2 s ends 62 s after its start where 60 s of them were slept.  Here all
-    that is overdue is done at the first wake-up, each timer once.
+    Timers of the default loop stop during a suspension.  Here all overdue
+    timers expire once at the first wake-up.
     """
 
     def time(self) -> float:
-        """Give the seconds by which timers are due."""
+        """Return the time of the loop in seconds."""
         return clocks.read_steady_ns() / NS_PER_SECOND
 
 
 def measure_suspended_ms() -> int:
-    """Give how long the machine was suspended since its start."""
-    away_ns = clocks.read_steady_ns() - clocks.read_awake_ns()
-    return away_ns // NS_PER_MS
+    """Return how long the machine was suspended since its start."""
+    suspended_ns = clocks.read_steady_ns() - clocks.read_awake_ns()
+    return suspended_ns // NS_PER_MS
 
 
-async def watch_suspension(note: Callable[[int], None], clock: Clock) -> None:
-    """Tell of each suspension how long it was, in milliseconds."""
+async def watch_suspension(
+    on_suspension: Callable[[int], None], clock: Clock
+) -> None:
+    """Report the duration of each suspension in milliseconds."""
     if not clocks.COUNTS_SUSPENSION:
         _logger.warning(
             'no clock counts suspended time; the monotonic one is used'
         )
     before_ms = measure_suspended_ms()
     while True:
-        await clock.sleep(_LOOK_MS)
-        away_ms = measure_suspended_ms()
-        if away_ms - before_ms >= _LEAST_MS:
-            note(away_ms - before_ms)
+        await clock.sleep(_POLL_INTERVAL_MS)
+        suspended_ms = measure_suspended_ms()
+        if suspended_ms - before_ms >= _MIN_SUSPENSION_MS:
+            on_suspension(suspended_ms - before_ms)
             _logger.warning(
-                'machine was suspended', extra={'ms': away_ms - before_ms}
+                'machine was suspended', extra={'ms': suspended_ms - before_ms}
             )
-        before_ms = away_ms
+        before_ms = suspended_ms
--- a/seampond/tests/test_logs.py
+++ b/seampond/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never blocking, failures before routine."""
+"""Logging must not block and must prefer failures to routine lines."""
 
 import io
 import json
@@ -17,15 +17,15 @@
 
 
 class StalledStream(io.StringIO):
-    """A stream whose reader does not read until it is told to."""
+    """A stream whose reader stalls until it is resumed."""
 
     def __init__(self) -> None:
-        """Start stalled."""
+        """Initialize a stalled stream."""
         super().__init__()
         self.resumed = threading.Event()
 
     def write(self, text: str) -> int:
-        """Block as a full pipe does."""
+        """Block like a full pipe."""
         self.resumed.wait()
         return super().write(text)
 
@@ -46,10 +46,10 @@
 
 
 class LogsTest(unittest.TestCase):
-    """What is written, and what is dropped and told."""
+    """Written and dropped lines."""
 
     def test_line_is_json_with_its_fields(self) -> None:
-        """One object a line."""
+        """Extra fields are written at the top level."""
         stream = io.StringIO()
         root = logging.getLogger()
         before = (root.level, root.handlers.copy())
@@ -63,8 +63,8 @@
         self.assertEqual((line['request'], line['ms']), ('r1', 3))
         self.assertEqual(line['level'], 'INFO')
 
-    def test_stalled_reader_blocks_nobody(self) -> None:
-        """Lines are dropped; the caller goes on; the loss is told."""
+    def test_stalled_reader_does_not_block(self) -> None:
+        """Lines are dropped and their number is reported."""
         stream = StalledStream()
         with _logger_to(stream) as (logger, writer):
             for number in range(_MANY):
@@ -76,11 +76,11 @@
         lines = _read(stream)
         self.assertLess(len(lines), _MANY)
         self.assertEqual(lines[-1]['event'], 'last')
-        told = lines[-1]['dropped_lines']
-        self.assertEqual(told, _MANY + 1 - len(lines))
+        dropped = lines[-1]['dropped_lines']
+        self.assertEqual(dropped, _MANY + 1 - len(lines))
 
-    def test_routine_lines_are_bounded_and_failures_are_not(self) -> None:
-        """Under load each failure keeps its line."""
+    def test_only_routine_lines_are_rate_limited(self) -> None:
+        """No warning is dropped under load."""
         stream = io.StringIO()
         with _logger_to(stream) as opened:
             logger, writer = opened
@@ -93,6 +93,6 @@
         served = [line for line in lines if line['event'] == 'served']
         self.assertEqual(len(failed), _SERVED // _EACH)
         self.assertLess(len(served), _SERVED)
-        told = sum(int(str(line.get('dropped_lines', 0))) for line in lines)
-        self.assertLessEqual(told, writer.handler.dropped)
+        reported = sum(int(str(line.get('dropped_lines', 0))) for line in lines)
+        self.assertLessEqual(reported, writer.handler.dropped)
         self.assertEqual(writer.handler.dropped, _SERVED - len(served))
--- a/seampond/tests/test_pages.py
+++ b/seampond/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' page names every setting, reason and metric."""
+"""The operators' page must document every setting, cause and metric."""
 
 import unittest
 from collections.abc import Iterator
--- a/seampond/tests/test_tasks.py
+++ b/seampond/tests/test_tasks.py
@@ -1,15 +1,15 @@
-"""Background tasks end with their `with`, whatever swallows a cancel."""
+"""Background tasks must end with their context."""
 
 import asyncio
 import unittest
 
 from seampond.tasks import run_tasks
 
-LIMIT_SECONDS = 2
+TIMEOUT_SECONDS = 2
 
 
 class RunTasksTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_swallowed_cancellation_is_repeated(self) -> None:
+    async def test_swallowed_cancellation_is_repeated(self) -> None:
         started = asyncio.Event()
 
         async def stubborn() -> None:
@@ -18,11 +18,10 @@
                 try:
                     await asyncio.Event().wait()
                 except asyncio.CancelledError:
-                    # As a library's wait may, when its answer comes
-                    # together with the cancellation.
+                    # Libraries may swallow a cancellation like this.
                     await asyncio.Event().wait()
 
-        async with asyncio.timeout(LIMIT_SECONDS):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             async with run_tasks(stubborn()):
                 await started.wait()
         self.assertEqual(asyncio.all_tasks(), {asyncio.current_task()})
--- a/seampond/web.py
+++ b/seampond/web.py
@@ -1,4 +1,4 @@
-"""Serve a web application for the time of a `with`."""
+"""Serve ASGI applications within a context manager."""
 
 import asyncio
 import logging
@@ -20,11 +20,11 @@
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves the signals to the daemon."""
+    """A server that installs no signal handlers."""
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture none."""
+        """Capture no signals."""
         yield
 
 
@@ -37,12 +37,12 @@
     _task: 'asyncio.Task[None]'
 
     async def drain(self, within_ms: int | None = None) -> None:
-        """Take no new connection; return when what runs has finished.
+        """Accept no connections and wait for the open requests.
 
         Parameters
         ----------
         within_ms : int or None
-            How long that may take, None for what was set at the start.
+            Longest time to wait, None for the time set at the start.
 
         """
         if within_ms is not None:
@@ -58,25 +58,25 @@
     Raises
     ------
     SettingsError
-        If the address can't be listened on.
+        If the address cannot be bound.
 
     """
     host, _, port = address.rpartition(':')
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
-    bound = socket.socket(family, socket.SOCK_STREAM)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener = socket.socket(family, socket.SOCK_STREAM)
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
-        bound.bind((host, int(port)))
+        listener.bind((host, int(port)))
     except OSError as error:
-        bound.close()
+        listener.close()
         raise SettingsError(
             f'cannot listen on {address}: {error.strerror}; free the port or '
             'change the address',
             step='listen',
         ) from error
-    bound.listen(_BACKLOG)
-    bound.setblocking(False)
-    return bound
+    listener.listen(_BACKLOG)
+    listener.setblocking(False)
+    return listener
 
 
 @asynccontextmanager
@@ -86,19 +86,19 @@
     drain_ms: int = 0,
     protocol: Callable[..., asyncio.Protocol] | Literal['h11'] = 'h11',
 ) -> AsyncIterator[WebServer]:
-    """Serve `app` on all `addresses` until the end of the `with`.
+    """Serve `app` on all `addresses` until the context exits.
 
     Parameters
     ----------
     drain_ms : int
-        How long running requests may take to finish at the end.
+        How long open requests may take to finish on exit.
     protocol : Callable or str
-        Makes what speaks HTTP on a connection.
+        Factory of the HTTP protocol of a connection.
 
     """
     logging.getLogger('uvicorn').setLevel(logging.CRITICAL)
-    bound = [bind(address) for address in addresses]
-    # A float serves as well: it is the time-out of a wait.
+    sockets = [bind(address) for address in addresses]
+    # uvicorn declares an int but only passes it on as a time-out.
     seconds = max(1, drain_ms / MS_PER_SECOND)
     config = uvicorn.Config(
         app,
@@ -114,10 +114,10 @@
         timeout_graceful_shutdown=seconds,  # type: ignore[arg-type]
     )
     server = _Server(config)
-    task = asyncio.create_task(server.serve(sockets=bound))
+    task = asyncio.create_task(server.serve(sockets=sockets))
     while not server.started:
         await asyncio.sleep(_POLL_SECONDS)
-    host, port = bound[0].getsockname()[:2]
+    host, port = sockets[0].getsockname()[:2]
     running = WebServer(f'{host}:{port}', server, task)
     try:
         yield running
