--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -37,7 +37,7 @@
     ('encode it', 'heartbeats.py:encode'),
     ('send datagrams', 'sendto'),
     ('answers of the store', 'watch.py:_step'),
-    ('choose a server', 'scheduler.py:_find_backend'),
+    ('choose a server', 'scheduler.py:_find'),
     ('serve requests', 'app.py:_serve'),
     ('log lines', 'logging/__init__.py:_log'),
 )
