--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -26,7 +26,7 @@
     STREAM,
     TENANT,
     ConfigurationRow,
-    is_out_of_quarantine,
+    is_quarantine_empty,
     put_configuration,
 )
 from seampond.quarantine import fingerprint, trials
@@ -217,7 +217,7 @@
                 gateway.components.settings.listen, CRASHING_BODY
             )
             self.assertEqual(status, HTTPStatus.OK)
-        self.assertTrue(is_out_of_quarantine(self.store))
+        self.assertTrue(is_quarantine_empty(self.store))
 
     async def test_nothing_is_tried_while_the_store_is_away(self) -> None:
         """Without leave it waits, and other work is served."""
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -26,7 +26,7 @@
     TENANT_HEADER,
     ConfigurationRow,
     drop_server,
-    is_gateway_gone,
+    is_gateway_removed,
     put_configuration,
     put_gateway,
     put_server,
@@ -252,7 +252,7 @@
             known = second.components.peers
             await until_true(lambda: known.registration_version)
         await until_true(lambda: peers.count == 1 and peers.all_reachable)
-        self.assertTrue(is_gateway_gone(self.store, 'g2'))
+        self.assertTrue(is_gateway_removed(self.store, 'g2'))
 
     async def test_refusals_before_any_server(self) -> None:
         """No route, no key, a wrong key: each its status, nothing sent."""
--- a/seampond/gateway/tests/test_store_restores.py
+++ b/seampond/gateway/tests/test_store_restores.py
@@ -13,7 +13,7 @@
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.tests.rows import (
     ConfigurationRow,
-    is_gateway_gone,
+    is_gateway_removed,
     put_configuration,
     put_server,
 )
@@ -107,5 +107,5 @@
         gateway = await self.start()
         await until_true(lambda: gateway.components.peers.registration_version)
         await self.lose()
-        self.assertTrue(is_gateway_gone(self.store, 'g1'))
-        await until_true(lambda: not is_gateway_gone(self.store, 'g1'), 4)
+        self.assertTrue(is_gateway_removed(self.store, 'g1'))
+        await until_true(lambda: not is_gateway_removed(self.store, 'g1'), 4)
--- a/seampond/platform/tests/rows.py
+++ b/seampond/platform/tests/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's tables, for the tests of whole gateways."""
+"""Writing of rows of the platform's tables, for tests of whole gateways."""
 
 import base64
 import json
@@ -23,20 +23,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRow:
-    """What a test says of a configuration of one route and one tenant.
+    """A configuration of one route and one tenant.
 
     Parameters
     ----------
     keys : Sequence[str]
         The tenant's keys.
     weights : Sequence[tuple[str, int]]
-        Pools of the route and their weights, empty for the one pool.
+        Pools of the route and their weights, empty for a single pool.
     connections_max : int
-        The most connections that each server takes, 0 for any number.
+        Connections that each server accepts, 0 for any number.
     limits : dict[str, int]
-        Bounds on callers, named as in the product's own limits.
+        Limits on callers, with the names of the models.
     other_tenants : int
-        How many tenants there are beside the one.
+        Number of further tenants.
 
     """
 
@@ -49,7 +49,7 @@
     other_tenants: int = 0
 
     def make(self) -> dict[str, Any]:
-        """Give the row as it lies in the store."""
+        """Return the row as the store holds it."""
         route: dict[str, Any] = {
             'name': 'r1',
             'host': HOST,
@@ -65,9 +65,9 @@
                 {'service': pool, 'weight': weight}
                 for pool, weight in self.weights
             ]
-        named = {
-            name.replace('_', '-'): told
-            for name, told in (self.limits or {}).items()
+        limits = {
+            name.replace('_', '-'): limit
+            for name, limit in (self.limits or {}).items()
         }
         return {
             'version': self.version,
@@ -80,20 +80,20 @@
                     for number in range(self.other_tenants)
                 ),
             ],
-            'limits': named,
+            'limits': limits,
         }
 
 
 def put_configuration(
     store: StandInStore, row: ConfigurationRow | None = None
 ) -> None:
-    """Write a configuration as the operator would."""
+    """Write a configuration as an operator would."""
     content = (row or ConfigurationRow()).make()
     store.put(names.CONFIGURATION_TABLE, names.CONFIGURATION_KEY, content)
 
 
 def read_configuration_version(store: StandInStore) -> int:
-    """Give the store's version of the configuration's row."""
+    """Return the store's version of the configuration's row."""
     key = (names.CONFIGURATION_TABLE, names.CONFIGURATION_KEY)
     return int(str(store.rows[key]['ver']))
 
@@ -101,7 +101,7 @@
 def put_server(
     store: StandInStore, server_id: str, address: str, **changes: Any
 ) -> None:
-    """Write the row of a server as it would itself."""
+    """Write a server's row as the server would."""
     row = {
         'service': POOL,
         'address': address,
@@ -113,17 +113,17 @@
 
 
 def drop_server(store: StandInStore, server_id: str) -> None:
-    """Remove the row of a server."""
+    """Remove a server's row."""
     store.drop(names.SERVERS_TABLE, server_id)
 
 
 def put_gateway(store: StandInStore, name: str) -> None:
-    """Write the row of a gateway that answers nothing."""
+    """Write the row of a gateway that does not answer."""
     store.put(names.GATEWAYS_TABLE, name, {'address': '127.0.0.1:9'})
 
 
-def is_gateway_gone(store: StandInStore, name: str) -> bool:
-    """Tell whether the row of a gateway is not there."""
+def is_gateway_removed(store: StandInStore, name: str) -> bool:
+    """Return True if the row of a gateway does not exist."""
     row = store.rows.get((names.GATEWAYS_TABLE, name), {'gone': True})
     return bool(row.get('gone'))
 
@@ -131,7 +131,7 @@
 def put_order(
     store: StandInStore, target: str, duration_s: float, **changes: Any
 ) -> None:
-    """Order a roll-out as an operator would."""
+    """Order a rollout as an operator would."""
     row = {
         'service': POOL,
         'target-version': target,
@@ -142,23 +142,23 @@
 
 
 def drop_order(store: StandInStore) -> None:
-    """Take an order back."""
+    """Withdraw an order."""
     key = f'{names.ROLLOUT_PREFIX}{POOL}'
     store.drop(names.CONFIGURATION_TABLE, key)
 
 
 def read_state(store: StandInStore) -> tuple[str, str]:
-    """Give the state of a roll-out and the version that it names."""
+    """Return the state of a rollout and its target version."""
     key = f'{names.ROLLOUT_PREFIX}{POOL}'
     row = store.rows.get((names.STATUS_TABLE, key))
     if row is None:
         return '', ''
-    told = json.loads(base64.b64decode(str(row['value'])))
-    return told['state'], told['target-version']
+    status = json.loads(base64.b64decode(str(row['value'])))
+    return status['state'], status['target-version']
 
 
-def is_out_of_quarantine(store: StandInStore) -> bool:
-    """Tell whether no row of a trial is left."""
+def is_quarantine_empty(store: StandInStore) -> bool:
+    """Return True if no row of a trial is left."""
     return all(
         row.get('gone')
         for (table, _), row in store.rows.items()
--- a/seampond/platform/tests/test_headers.py
+++ b/seampond/platform/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Which headers of a caller reach a server."""
+"""Tests of the headers that are forwarded from a caller to a server."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 from seampond.testing.gateways import build_job
 
 _INSTANCE = 'i-1'
-_COMMANDS = (
+_COMMAND_HEADERS = (
     b'X-Seampond-Hold',
     b'X-Seampond-Pin-Ms',
     b'X-Seampond-Kv-Backup',
@@ -19,7 +19,7 @@
     b'Kv-Fetch',
     b'Kv-Of-A-Later-Version',
 )
-_PASSED = (
+_FORWARDED_HEADERS = (
     b'X-Seampond-Request-Id',
     b'X-Seampond-Model',
     b'X-Seampond-Token-Usage',
@@ -31,7 +31,7 @@
     b'X-Kv-From',
     b'Kvass',
 )
-_OURS = (
+_GATEWAY_HEADERS = (
     b'X-Seampond-Tenant',
     b'X-Seampond-Deadline-Ms',
     b'X-Seampond-Expect-Instance',
@@ -39,8 +39,8 @@
 
 
 def _send(*headers: tuple[bytes, bytes]) -> list[tuple[bytes, bytes]]:
-    """Give the headers that a server gets of these, names in lower case."""
-    # The web server hands names on in lower case.
+    """Return the headers that a server gets, names in lower case."""
+    # The web server passes names in lower case.
     given = [(name.lower(), text) for name, text in headers]
     job = build_job(headers=given)
     head = encode_request(job, HEADERS, _INSTANCE, job.arrived_ms)
@@ -49,30 +49,38 @@
     return [(name, text) for name, _, text in pairs]
 
 
-class CallersHeadersTest(unittest.TestCase):
-    """A caller describes its request and commands no server."""
+class CallerHeadersTest(unittest.TestCase):
+    """A caller can describe its request but not command a server."""
 
-    def test_commands_are_not_passed_on(self) -> None:
-        """Whatever their case, and however often they are sent."""
-        for name in _COMMANDS:
+    def test_commands_are_not_forwarded(self) -> None:
+        """In any letter case, and if they are repeated."""
+        for name in _COMMAND_HEADERS:
             for spelled in (name, name.lower(), name.upper()):
                 with self.subTest(name=spelled):
                     sent = _send((spelled, b'1'), (name, b'2'))
                     self.assertNotIn(name.lower(), dict(sent))
 
-    def test_what_describes_a_request_is_passed_on(self) -> None:
-        """Unchanged, also where it is sent twice."""
-        for name in _PASSED:
+    def test_request_headers_are_forwarded(self) -> None:
+        """Unchanged, also if they are repeated."""
+        for name in _FORWARDED_HEADERS:
             with self.subTest(name=name):
                 sent = _send((name, b'One, 1'), (name, b'Two:2'))
-                told = [text for known, text in sent if known == name.lower()]
-                self.assertEqual(told, [b'One, 1', b'Two:2'])
+                forwarded = [
+                    text
+                    for sent_name, text in sent
+                    if sent_name == name.lower()
+                ]
+                self.assertEqual(forwarded, [b'One, 1', b'Two:2'])
 
-    def test_ours_are_set_once(self) -> None:
-        """What a caller says of them is not passed on."""
-        for name in _OURS:
+    def test_headers_of_the_gateway_are_set_once(self) -> None:
+        """A caller cannot forge them."""
+        for name in _GATEWAY_HEADERS:
             with self.subTest(name=name):
                 sent = _send((name, b'forged'), (name.upper(), b'forged'))
-                told = [text for known, text in sent if known == name.lower()]
-                self.assertEqual(len(told), 1)
-                self.assertNotEqual(told[0], b'forged')
+                forwarded = [
+                    text
+                    for sent_name, text in sent
+                    if sent_name == name.lower()
+                ]
+                self.assertEqual(len(forwarded), 1)
+                self.assertNotEqual(forwarded[0], b'forged')
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The users' platform: its formats read, its store called."""
+"""Tests of the platform's row formats and of calls to its store."""
 
 import asyncio
 import json
@@ -69,27 +69,31 @@
 
 
 class FormatTest(unittest.TestCase):
-    """Rows as they lie in the store."""
+    """Rows as the store holds them."""
 
     def test_configuration(self) -> None:
-        """Routes, tenants, pools and limits, unknown fields passed over."""
-        whole = parse_configuration(json.dumps(dict(_CONFIGURATION)).encode())
-        self.assertEqual(whole.version, 7)
-        first = whole.find_route('a.example', '/x/z')
+        """Routes, tenants, pools and limits; unknown fields are ignored."""
+        configuration = parse_configuration(
+            json.dumps(dict(_CONFIGURATION)).encode()
+        )
+        self.assertEqual(configuration.version, 7)
+        first = configuration.find_route('a.example', '/x/z')
         assert first is not None
         self.assertEqual((first.name, first.kind), ('r1', RequestKind.stream))
         self.assertEqual([share.weight for share in first.shares], [90, 10])
         self.assertTrue(first.may_repeat)
-        tenant = whole.find_tenant('k2')
+        tenant = configuration.find_tenant('k2')
         assert tenant is not None
         self.assertEqual((tenant.rate, tenant.units_per_request), (1000, 200))
-        self.assertIsNone(whole.find_tenant('k3'))
-        self.assertTrue(whole.pools['s1'].is_engine)
-        self.assertEqual(whole.limits.body_bytes, 6)
+        self.assertIsNone(configuration.find_tenant('k3'))
+        self.assertTrue(configuration.pools['s1'].is_engine)
+        self.assertEqual(configuration.limits.body_bytes, 6)
 
     def test_longest_prefix_wins(self) -> None:
-        """The longest prefix that begins the path, on this host alone."""
-        whole = parse_configuration(json.dumps(dict(_CONFIGURATION)).encode())
+        """Among the routes of the same host."""
+        configuration = parse_configuration(
+            json.dumps(dict(_CONFIGURATION)).encode()
+        )
         cases = {
             '/x/y/z': 'r2',
             '/x/y/': 'r2',
@@ -99,14 +103,14 @@
         }
         for path, name in cases.items():
             with self.subTest(path):
-                route = whole.find_route('a.example', path)
+                route = configuration.find_route('a.example', path)
                 assert route is not None
                 self.assertEqual(route.name, name)
         for host, path in (('a.example', '/x'), ('b.example', '/x/')):
-            self.assertIsNone(whole.find_route(host, path))
+            self.assertIsNone(configuration.find_route(host, path))
 
-    def test_bad_rows_are_refused_with_the_field(self) -> None:
-        """A row that is none names what is wrong."""
+    def test_invalid_rows_are_rejected(self) -> None:
+        """The error names the invalid field."""
         with self.assertRaisesRegex(PlatformError, 'version'):
             parse_configuration(b'{"routes": []}')
         for row in (b'', b'[]', b'{"service": "s"}'):
@@ -114,7 +118,7 @@
                 parse_server('i-1', row)
 
     def test_draining_server(self) -> None:
-        """A server that says so takes no more work."""
+        """The state of the row is read."""
         row = {
             'service': 's',
             'address': '10.0.0.1:80',
@@ -128,10 +132,10 @@
 
 
 class StoreTest(unittest.IsolatedAsyncioTestCase):
-    """Calls to a stand-in of the store."""
+    """Calls to a stand-in for the store."""
 
     async def test_read_then_changes(self) -> None:
-        """A whole read, a change, a removal."""
+        """Read a table, then a change and a removal."""
         async with run_store() as store:
             store.put('t', 'a', b'one')
             async with open_table(store.address, 't', Clock()) as table:
@@ -158,7 +162,7 @@
                 self.assertEqual(page.rows, ())
 
     async def test_lost_history(self) -> None:
-        """410 has an error of its own."""
+        """Status 410 raises an error of its own."""
         async with run_store() as store:
             store.put('t', 'a', b'one')
             store.compact()
@@ -166,8 +170,8 @@
                 with self.assertRaises(HistoryGoneError):
                     await table.read_changes(1, 10)
 
-    async def test_late_answer_is_not_the_next_calls(self) -> None:
-        """An answer that came too late is not taken for the next one's."""
+    async def test_late_answer_is_not_taken_for_the_next(self) -> None:
+        """The connection is closed after a timeout."""
         async with run_store() as store:
             store.put('t', 'a', b'old')
             async with open_table(store.address, 't', Clock()) as table:
@@ -179,8 +183,8 @@
                 page = await table.read_all()
                 self.assertEqual([row.content for row in page.rows], [b'new'])
 
-    async def test_connection_that_was_closed_meanwhile(self) -> None:
-        """The call after it goes over a new one."""
+    async def test_call_after_a_closed_connection(self) -> None:
+        """It uses a new connection."""
         async with run_store() as store:
             store.put('t', 'a', b'one')
             async with open_table(store.address, 't', Clock()) as table:
@@ -191,8 +195,8 @@
                 page = await table.read_all()
                 self.assertEqual(len(page.rows), 1)
 
-    async def test_what_is_no_answer_is_a_failure(self) -> None:
-        """Text that is not JSON, or JSON without its fields."""
+    async def test_malformed_answer_is_an_error(self) -> None:
+        """Text that is not JSON, or JSON without the required fields."""
 
         async def serve_text(
             request: Received, writer: asyncio.StreamWriter
@@ -208,8 +212,8 @@
                 with self.assertRaises(PlatformError):
                     await table.read_all()
 
-    async def test_answer_that_stops_midway_tells_what_had_come(self) -> None:
-        """It is told apart from a store that is silent."""
+    async def test_truncated_answer_reports_received_bytes(self) -> None:
+        """It can be told from a store that does not answer."""
 
         async def serve_half(
             request: Received, writer: asyncio.StreamWriter
@@ -224,8 +228,8 @@
                 await table.read_changes(1, 0)
         self.assertEqual(caught.exception.received, len(b'{"rows"'))
 
-    async def test_answer_that_keeps_coming_is_waited_for(self) -> None:
-        """Silence ends a call, not the time that a narrow link needs."""
+    async def test_slow_answer_is_read_to_its_end(self) -> None:
+        """Only inactivity ends a call, not the time on a slow link."""
         async with run_store() as store:
             store.put('t', 'a', b'x' * 200_000)
             store.bytes_per_s = 160_000
@@ -233,8 +237,8 @@
                 page = await table.read_all()
         self.assertEqual(len(page.rows[0].content), 200_000)
 
-    async def test_read_in_pages_is_as_old_as_its_first(self) -> None:
-        """What changed between two pages has to be asked for again."""
+    async def test_paged_read_has_the_version_of_its_first_page(self) -> None:
+        """Changes between two pages must be requested again."""
 
         async def serve_page(
             request: Received, writer: asyncio.StreamWriter
@@ -256,7 +260,7 @@
         self.assertEqual((page.version, page.store_ms), (5, 100))
 
     async def test_store_that_is_down(self) -> None:
-        """503 is a failure of the platform, with step and peer."""
+        """Status 503 raises an error with step and peer."""
         async with run_store() as store:
             store.is_down = True
             async with open_table(store.address, 't', Clock()) as table:
@@ -267,22 +271,22 @@
 
 
 class NamesTest(unittest.TestCase):
-    """Only the folder of the platform knows the platform's names."""
+    """Only the platform package uses the platform's names."""
 
-    def test_names_stand_nowhere_else(self) -> None:
-        """No header, call or field of the platform outside its folder."""
+    def test_names_occur_in_no_other_package(self) -> None:
+        """No header, path or field of the platform elsewhere."""
         source = (_ROOT / 'platform' / 'names.py').read_text()
         source += (_ROOT / 'platform' / 'configuration.py').read_text()
         quoted = set(re.findall(r"'([^'\n]+)'", source))
         fields = set(re.findall(r'^    (\w+_\w+): ', source, re.MULTILINE))
         words = {field.replace('_', '-') for field in fields}
-        # Words that are HTTP's or plain English, here and in the product.
-        own = {'last-event-id', 'draining', 'idempotent', '/ready'}
+        # Names of HTTP, and plain English words.
+        allowed = {'last-event-id', 'draining', 'idempotent', '/ready'}
         banned = {
             word
             for word in quoted | words
             if re.search('[-_/]', word) and re.search('[a-z]', word)
-        } - own
+        } - allowed
         self.assertIn('x-seampond-request-id', banned)
         self.assertIn('max-attempts', banned)
         found = [
--- a/seampond/platform/tests/test_store_restores.py
+++ b/seampond/platform/tests/test_store_restores.py
@@ -1,7 +1,7 @@
-"""Versions of a store that was restored from an older copy of itself.
+"""Tests of versions after the store was restored from a backup.
 
-Its numbers are given out again for other contents, so a version that was read
-before is no condition, and no place to go on from, after it.
+A restored store reuses version numbers, so a version that was read before the
+restore must neither satisfy a condition nor be a position in the feed.
 """
 
 import asyncio
@@ -30,28 +30,31 @@
 _TABLE = 't'
 _ROW = (_TABLE, 'k')
 _ERAS = st.integers(0, 1000)
-_NUMBERS = st.integers(0, (1 << 40) - 1)
+_REVISIONS = st.integers(0, (1 << 40) - 1)
 
 
 class VersionTest(unittest.TestCase):
-    """An era and a number in one."""
+    """An era and a revision combined into one version."""
 
     @settings(derandomize=True)
-    @given(_ERAS, _NUMBERS, _ERAS, _NUMBERS)
-    def test_versions_compare_by_their_era_first(
-        self, era: int, number: int, other_era: int, other: int
+    @given(_ERAS, _REVISIONS, _ERAS, _REVISIONS)
+    def test_versions_compare_by_era_first(
+        self, era: int, revision: int, other_era: int, other: int
     ) -> None:
-        """And give both back."""
-        one, two = make_version(era, number), make_version(other_era, other)
-        self.assertEqual(one < two, (era, number) < (other_era, other))
-        self.assertEqual((era_of(one), revision_of(one)), (era, number))
+        """The era and the revision can be read back."""
+        first, second = (
+            make_version(era, revision),
+            make_version(other_era, other),
+        )
+        self.assertEqual(first < second, (era, revision) < (other_era, other))
+        self.assertEqual((era_of(first), revision_of(first)), (era, revision))
 
 
 class RestoreTest(unittest.IsolatedAsyncioTestCase):
-    """One client of a store that goes back."""
+    """One client of a store that is restored."""
 
     async def asyncSetUp(self) -> None:
-        """Write a row, note the moment, and write it again."""
+        """Write a row, record the time of the backup, and write it again."""
         stack = AsyncExitStack()
         self.addAsyncCleanup(stack.aclose)
         self.store: StandInStore = await stack.enter_async_context(run_store())
@@ -60,19 +63,19 @@
         self.addCleanup(self.client.close)
         self.store.put(_TABLE, 'k', 1)
         await asyncio.sleep(0.02)
-        self.copied_ms = self.store.clock.now()
+        self.backup_ms = self.store.clock.now()
         await asyncio.sleep(0.02)
         self.store.put(_TABLE, 'k', 2)
         self.page = await self.client.read(_TABLE)
 
-    def go_back(self) -> None:
-        """Restore the copy, and give the number out for another content."""
-        self.store.go_back(self.copied_ms)
+    def restore_store(self) -> None:
+        """Restore the backup and reuse the revision for another content."""
+        self.store.go_back(self.backup_ms)
         self.store.put(_TABLE, 'k', 3)
 
-    async def test_no_change_goes_on_from_an_earlier_era(self) -> None:
-        """Neither before nor after the client has heard of the new one."""
-        self.go_back()
+    async def test_feed_does_not_resume_from_an_earlier_era(self) -> None:
+        """Neither before nor after the client knows the new era."""
+        self.restore_store()
         for _ in range(2):
             with self.assertRaises(HistoryGoneError):
                 await self.client.read_changes(_TABLE, self.page.version, 0)
@@ -80,28 +83,30 @@
         self.assertGreater(page.version, self.page.version)
         self.assertGreater(page.rows[0].version, self.page.rows[0].version)
 
-    async def test_no_write_rests_on_an_earlier_era(self) -> None:
-        """It is not sent; one that crossed the restore is in doubt."""
-        change = RowTransaction({_ROW: self.page.rows[0].version}, {_ROW: b'4'})
-        self.go_back()
+    async def test_write_does_not_expect_an_earlier_era(self) -> None:
+        """It is not sent; the outcome is unknown if it crossed the restore."""
+        transaction = RowTransaction(
+            {_ROW: self.page.rows[0].version}, {_ROW: b'4'}
+        )
+        self.restore_store()
         with self.assertRaises(UnknownOutcomeError):
-            await self.client.commit(change)
+            await self.client.commit(transaction)
         calls = len(self.store.calls)
         with self.assertRaises(ConflictError):
-            await self.client.commit(change)
+            await self.client.commit(transaction)
         self.assertEqual(len(self.store.calls), calls)
 
-    async def test_errors_tell_the_era_too(self) -> None:
-        """Also 503 and 410."""
-        self.go_back()
+    async def test_error_answers_update_the_era(self) -> None:
+        """An answer with status 503 carries the era as well."""
+        self.restore_store()
         before = self.client.era
         self.store.is_down = True
         with self.assertRaises(PlatformError):
             await self.client.read(_TABLE)
         self.assertEqual(self.client.era, before + 1)
 
-    async def test_an_answer_of_an_earlier_era_is_none(self) -> None:
-        """It may come late, over a connection that was there before."""
+    async def test_answer_of_an_earlier_era_is_rejected(self) -> None:
+        """A late answer must not bring back the state before the restore."""
         eras = ['4', '3']
 
         async def answer(
@@ -118,8 +123,8 @@
             with self.assertRaises(PlatformError):
                 await client.read(_TABLE)
 
-    async def test_without_a_word_of_an_era_all_is_as_before(self) -> None:
-        """Versions are the store's own numbers."""
+    async def test_versions_without_eras_are_revisions(self) -> None:
+        """A store that sends no era is still supported."""
         self.store.era = 0
         client = Store(self.store.address, Clock())
         self.addCleanup(client.close)
