--- a/seampond/rollouts/__init__.py
+++ b/seampond/rollouts/__init__.py
@@ -1,6 +1,6 @@
-"""Roll-outs: a pool's traffic moves to servers of another version, or back.
+"""Rollouts of server versions: moving a pool's traffic to another version.
 
-Decisions only: no socket, no task, no clock but the times passed in.
+The package only decides: it opens no sockets, runs no tasks and reads no clock.
 """
 
 from seampond.rollouts.manager import RolloutManager as RolloutManager
--- a/seampond/rollouts/exposure.py
+++ b/seampond/rollouts/exposure.py
@@ -1,37 +1,36 @@
-"""How many requests one gateway may send to a version that is not proved."""
+"""Limit on the requests that a gateway sends to an unproved version."""
 
 from dataclasses import dataclass
 
-# What is counted here may not reach a server, and what reaches one late
-# belongs to a smaller sum.
-_SAFE_PART = 0.8
+# Margin for requests that are counted here but arrive late or not at all.
+_SAFETY_FACTOR = 0.8
 
 
 @dataclass(slots=True)
 class Exposure:
-    """This gateway's part of what all may send to an unproved version.
+    """This gateway's part of the exposure limits of all gateways.
 
     Explanation
     -----------
-    The bound holds over all gateways: a share of all requests since the order
-    and a fixed allowance.  Each keeps to the share of its own requests and to
-    an equal part of the allowance, so the sum holds without a message.  One
-    that has started since the order has no part of the allowance: an earlier
-    life may have spent it.
+    Each gateway applies the share to its own requests and gets an equal part
+    of the allowance, so the limits hold for the sum without communication.  A
+    gateway that starts after the order gets no allowance, since an earlier
+    incarnation may have used it.
 
     Parameters
     ----------
     share : float
-        Requests for each request that reaches the pool.
+        Share of this gateway's requests.
     allowance : float
-        Our part of the fixed number.
+        Number of further requests.
     sent, exposed : int
-        Our requests since the order, and those among them to the version.
+        Requests since the order, and those of them sent to the new version.
 
     Examples
     --------
     >>> exposure = Exposure(0.1, 1)
-    >>> [exposure.record(is_new=exposure.may_expose) for _ in range(40)].count(1)
+    >>> sent = [exposure.record(is_new=exposure.may_expose) for _ in range(40)]
+    >>> sent.count(1)
     4
 
     """
@@ -43,12 +42,12 @@
 
     @property
     def may_expose(self) -> bool:
-        """Whether one more may be sent there."""
-        room = self.share * (self.sent + 1) + self.allowance
-        return self.exposed + 1 <= _SAFE_PART * room
+        """Whether one more request may be sent to the new version."""
+        limit = self.share * (self.sent + 1) + self.allowance
+        return self.exposed + 1 <= _SAFETY_FACTOR * limit
 
     def record(self, *, is_new: bool) -> int:
-        """Count a request; give 1 if it is exposed."""
+        """Count a request; return 1 if it went to the new version, else 0."""
         self.sent += 1
         self.exposed += is_new
         return int(is_new)
--- a/seampond/rollouts/manager.py
+++ b/seampond/rollouts/manager.py
@@ -1,4 +1,4 @@
-"""All roll-outs that a gateway knows of, and what it would write of them."""
+"""Rollouts known to a gateway, and the changes it plans for the store."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -17,26 +17,24 @@
 )
 from seampond.rollouts.rollout import BackendT, Rollout, RolloutBackend
 
-# A gateway that has started before the step was written is in the list of
-# gateways by then: it writes its row at once, and the others gather such rows
-# for 0.25 s.
-_LISTED_MS = 1000
-# The old servers' rows stay for three heartbeats after they have stopped.
-_STOPPED_MS = 10_000
-_MOVED = frozenset((Stage.moved, Stage.closed))
+# By then a gateway that started before the closing step is listed.
+_GATEWAY_LISTING_MS = 1000
+# Stopped servers remain listed for some heartbeats.
+_STOPPED_SERVERS_MS = 10_000
+_MOVED_STAGES = frozenset((Stage.moved, Stage.closed))
 _logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class ExposureLimits:
-    """What all gateways together may send to an unproved version.
+    """Limits on the requests that all gateways send to an unproved version.
 
     Parameters
     ----------
     share : float
-        Requests for each request that reaches the pool.
+        Share of the pool's requests.
     allowance : float
-        A fixed number beside them.
+        Number of further requests.
 
     """
 
@@ -46,7 +44,7 @@
 
 @dataclass
 class _PoolState:
-    """What the store says of one pool."""
+    """The order of one pool, and the store's rows on it."""
 
     order: Order | None = None
     status: Status | None = None
@@ -58,28 +56,30 @@
 
 @dataclass
 class RolloutManager:
-    """All roll-outs that a gateway knows of.
+    """Carries out the rollouts of all pools.
 
     Parameters
     ----------
     limits : ExposureLimits
-        What all gateways together may expose.
+        Limits for all gateways together.
     count_gateways : Callable[[], int]
-        How many gateways there may be, this one among them.
+        Returns how many gateways may be running, including this one.
     backends_of : Callable[[str], Sequence[RolloutBackend]]
-        All servers of a pool that are known, also those that have left the
-        list while something is open there.
+        Returns all known backends of a pool, including unlisted ones with
+        open requests.
     has_pool : Callable[[str], bool]
-        Whether the configuration names a pool.
+        Whether the configuration has a pool.
     list_reports : Callable[[], Sequence[Mapping[int, Report]] or None]
-        What each other gateway that may be serving has told last, by pool;
-        None while one of them is not heard.
+        Returns the latest reports of each other gateway by pool, None while
+        one of them is silent.
     hash_name : Callable[[str], int]
-        Gives the key by which gateways tell of a name.
+        Returns the key of a name in heartbeats.
     store_ms : Callable[[int], int]
-        Gives a moment of our clock by the store's.
+        Converts a local time to the store's clock.
     local_ms : Callable[[int], int]
-        Gives a moment of the store's clock by ours.
+        Converts a time of the store's clock to the local one.
+    is_state_loaded : bool
+        Whether the states of orders were read from the store.
 
     """
 
@@ -91,74 +91,79 @@
     hash_name: Callable[[str], int]
     store_ms: Callable[[int], int] = int
     local_ms: Callable[[int], int] = int
-    slowness: LatencyBaseline = field(default_factory=LatencyBaseline)
+    latency_baseline: LatencyBaseline = field(default_factory=LatencyBaseline)
     is_state_loaded: bool = False
     _is_awaiting_state: bool = False
     _pools: dict[str, _PoolState] = field(default_factory=dict)
 
     @property
     def is_ready(self) -> bool:
-        """Whether requests can be placed.
+        """Whether requests can be sent.
 
         Explanation
         -----------
-        Who starts while an order runs may not send to the old version if the
-        store says so; who runs when an order comes begins with its trial.
+        A gateway that starts during a rollout must read its state first: the
+        old version may be closed already.
         """
         return not self._is_awaiting_state
 
     @property
     def has_running(self) -> bool:
-        """Whether the states of orders have to be followed."""
+        """Whether any rollout is running."""
         return bool(self.running)
 
     @property
     def running(self) -> list[Rollout]:
-        """What is carried out just now."""
+        """The running rollouts."""
         return [
-            known.rollout
-            for known in self._pools.values()
-            if known.rollout is not None
+            pool_state.rollout
+            for pool_state in self._pools.values()
+            if pool_state.rollout is not None
         ]
 
     def apply_orders(
         self,
         orders: Iterable[Order],
-        gone: Iterable[str],
+        removed: Iterable[str],
         now_ms: int,
         *,
         is_start: bool = False,
     ) -> None:
-        """Take orders as they are written, and the pools without one.
+        """Apply new orders and withdraw those of removed pools.
 
         Parameters
         ----------
+        removed : Iterable[str]
+            Pools that have no order any more.
         is_start : bool
-            Whether this is the first that we know of orders: an earlier life
-            of ours may have spent our part of the allowance.
+            Whether the orders are the first since the gateway started.  They
+            get no allowance, which an earlier incarnation may have used.
 
         """
         listed = list(orders)
         self._is_awaiting_state |= is_start and bool(listed)
         for order in listed:
-            known = self._pools.setdefault(order.pool, _PoolState())
-            if known.order is None or order.version > known.order.version:
+            pool_state = self._pools.setdefault(order.pool, _PoolState())
+            if (
+                pool_state.order is None
+                or order.version > pool_state.order.version
+            ):
                 allowance = 0 if is_start else self._allowance
-                self._start_rollout(known, order, now_ms, allowance)
-        for pool in gone:
-            known = self._pools.get(pool, _PoolState())
-            if known.rollout is not None and known.order is not None:
-                known.order = None
-                known.rollout.reject('order taken back')
-                _log_change('order of a roll-out taken back', known.rollout)
+                self._start_rollout(pool_state, order, now_ms, allowance)
+        for pool in removed:
+            pool_state = self._pools.get(pool, _PoolState())
+            if pool_state.rollout is not None and pool_state.order is not None:
+                pool_state.order = None
+                pool_state.rollout.reject('order taken back')
+                _log_change('rollout order withdrawn', pool_state.rollout)
 
     @property
     def pools_with_state(self) -> frozenset[str]:
-        """The pools of which the store says anything."""
+        """The pools with a status or step in the store."""
         return frozenset(
             pool
-            for pool, known in self._pools.items()
-            if known.status is not None or known.step is not None
+            for pool, pool_state in self._pools.items()
+            if pool_state.status is not None or pool_state.step is not None
         )
 
     @property
@@ -166,8 +171,8 @@
         """The pools that have an order."""
         return [
             pool
-            for pool, known in self._pools.items()
-            if known.order is not None
+            for pool, pool_state in self._pools.items()
+            if pool_state.order is not None
         ]
 
     def apply_states(
@@ -176,41 +181,44 @@
         steps: Mapping[str, Step | None],
         now_ms: int,
     ) -> None:
-        """Take what the store says of orders, by pool; None: no row."""
+        """Apply the store's rows on orders by pool, None for no row."""
         self.is_state_loaded = True
         self._is_awaiting_state = False
         for pool in statuses.keys() | steps.keys():
-            known = self._pools.setdefault(pool, _PoolState())
-            known.status = statuses.get(pool, known.status)
-            known.step = steps.get(pool, known.step)
-        for known in self._pools.values():
-            self._apply_store_state(known, now_ms)
+            pool_state = self._pools.setdefault(pool, _PoolState())
+            pool_state.status = statuses.get(pool, pool_state.status)
+            pool_state.step = steps.get(pool, pool_state.step)
+        for pool_state in self._pools.values():
+            self._apply_store_state(pool_state, now_ms)
 
     def apply_reports(
-        self, name: str, life: int, reports: Iterable[Report]
+        self, name: str, incarnation: int, reports: Iterable[Report]
     ) -> None:
-        """Take what another gateway tells."""
-        by_key = {self.hash_name(pool): known for pool, known in self._items()}
+        """Apply the reports in another gateway's heartbeat."""
+        by_key = {
+            self.hash_name(pool): pool_state
+            for pool, pool_state in self._items()
+        }
         for report in reports:
-            known = by_key.get(report.pool)
-            if known is None or known.rollout is None:
+            pool_state = by_key.get(report.pool)
+            if pool_state is None or pool_state.rollout is None:
                 continue
-            rollout = known.rollout
+            rollout = pool_state.rollout
             if report.order != rollout.order.version:
                 continue
-            rollout.evidence.apply_counts(name, life, report.tallies)
+            rollout.evidence.apply_counts(name, incarnation, report.tallies)
             if report.stage is Stage.refused:
                 rollout.reject('another gateway found it bad')
 
     def build_reports(self) -> tuple[Report, ...]:
-        """Give what the others are told."""
+        """Return the reports for the next heartbeat."""
         return tuple(
-            known.rollout.build_report(
+            pool_state.rollout.build_report(
                 self.hash_name(pool),
-                known.rollout.count_servers(self.backends_of(pool)),
+                pool_state.rollout.count_servers(self.backends_of(pool)),
             )
-            for pool, known in self._items()
-            if known.rollout is not None
+            for pool, pool_state in self._items()
+            if pool_state.rollout is not None
         )
 
     def group_backends(
@@ -220,22 +228,22 @@
         now_ms: int,
         draw: float | None,
     ) -> tuple[Sequence[BackendT], ...]:
-        """Give the servers to look at, those that come first before others.
+        """Return the backends that may be used, grouped by preference.
 
         Parameters
         ----------
         draw : float or None
-            From 0 to 1, drawn for the request; None for one that may not go
-            to a version that is not proved.
+            Random number from 0 to 1, None for a request that must not go to
+            an unproved version.
 
         """
-        known = self._pools.get(pool)
-        if known is None:
+        pool_state = self._pools.get(pool)
+        if pool_state is None:
             return (backends,)
-        if known.rollout is not None:
-            return known.rollout.group_backends(backends, now_ms, draw)
-        status = known.status
-        if status is None or known.final_ms is None:
+        if pool_state.rollout is not None:
+            return pool_state.rollout.group_backends(backends, now_ms, draw)
+        status = pool_state.status
+        if status is None or pool_state.final_ms is None:
             return (backends,)
         target = status.target
         new = [
@@ -246,12 +254,12 @@
         ]
         if status.state is State.rolled_back:
             return (old,)
-        # The old ones have stopped, whatever the list still says.
-        is_just_done = now_ms < known.final_ms + _STOPPED_MS
+        # Old servers have stopped by now but may still be listed.
+        is_just_done = now_ms < pool_state.final_ms + _STOPPED_SERVERS_MS
         return (new,) if is_just_done and new else (backends,)
 
     def record_placement(self, pool: str, version: str) -> None:
-        """Note that a request has a place on a server."""
+        """Record that a request was placed on a server of a version."""
         rollout = self._find_rollout(pool)
         if rollout is not None:
             is_new = version == rollout.order.target
@@ -262,66 +270,66 @@
         pool: str,
         route: int,
         version: str,
-        pace: LatencySample | None,
+        sample: LatencySample | None,
         now_ms: int,
         *,
         is_bad: bool,
         is_answer: bool = True,
     ) -> None:
-        """Note how one send to a server ended.
+        """Record the outcome of an attempt on a server.
 
         Parameters
         ----------
-        pace : LatencySample or None
-            How fast it was, None where that says nothing.
+        sample : LatencySample or None
+            The latency, None if it is not meaningful.
         is_answer : bool
-            Whether anything came; else it counts only if that took too long.
+            Whether the server answered.  Otherwise the attempt counts only if
+            it was slow.
 
         """
         rollout = self._find_rollout(pool)
         is_new = rollout is not None and version == rollout.order.target
         if rollout is not None:
-            # Once the old version gets nothing, nothing tells a burst from a
-            # slow version: a good one was rolled back by 11 slow answers of 51
-            # on a machine that had just become busy.
-            has_both = rollout.traffic_share(now_ms) < 1
+            # Without traffic to the old version a load spike could not be
+            # told from a slow version.
+            has_baseline = rollout.traffic_share(now_ms) < 1
             is_slow = (
-                has_both
-                and pace is not None
-                and self.slowness.is_slow(route, pace)
+                has_baseline
+                and sample is not None
+                and self.latency_baseline.is_slow(route, sample)
             )
             if is_answer or is_slow:
                 rollout.evidence.record(
                     route, is_new=is_new, is_bad=is_bad or is_slow
                 )
-        is_usual = is_answer and not is_bad and not is_new
-        if pace is not None and is_usual:
-            self.slowness.record(route, pace)
+        is_baseline = is_answer and not is_bad and not is_new
+        if sample is not None and is_baseline:
+            self.latency_baseline.record(route, sample)
 
     def count_open_old(self, pool: str) -> int:
-        """Give our requests on servers of another version than the target."""
+        """Return the open requests on servers other than the target version."""
         rollout = self._find_rollout(pool)
         if rollout is None:
             return 0
         return rollout.count_servers(self.backends_of(pool)).open_old
 
     def evaluate(self, now_ms: int) -> None:
-        """Decide how far each roll-out goes."""
-        for pool, known in self._items():
-            rollout = known.rollout
+        """Update the stage of each rollout."""
+        for pool, pool_state in self._items():
+            rollout = pool_state.rollout
             if rollout is None:
                 continue
             before = rollout.stage, rollout.is_rejected
-            if known.order is not None and not self.has_pool(pool):
+            if pool_state.order is not None and not self.has_pool(pool):
                 rollout.reject('no such pool')
             rollout.evaluate(
                 now_ms, rollout.count_servers(self.backends_of(pool))
             )
             if before != (rollout.stage, rollout.is_rejected):
-                _log_change('stage of a roll-out', rollout)
+                _log_change('rollout stage changed', rollout)
 
     def plan_changes(self, now_ms: int) -> list[Change]:
-        """Give what should be written next, one for each pool at the most."""
+        """Return the next writes to the store, at most one per pool."""
         if not self.is_state_loaded:
             return []
         changes = [self._plan_change(pool, now_ms) for pool in self._pools]
@@ -331,91 +339,100 @@
         return list(self._pools.items())
 
     def _find_rollout(self, pool: str) -> Rollout | None:
-        known = self._pools.get(pool)
-        return known.rollout if known else None
+        pool_state = self._pools.get(pool)
+        return pool_state.rollout if pool_state else None
 
     @property
     def _allowance(self) -> float:
-        """Our part of the fixed number; none while we know of nobody."""
-        gateways = self.count_gateways()
-        return self.limits.allowance / gateways if gateways else 0
+        """This gateway's part of the allowance, 0 until others are known."""
+        gateway_count = self.count_gateways()
+        return self.limits.allowance / gateway_count if gateway_count else 0
 
     def _start_rollout(
-        self, known: _PoolState, order: Order, now_ms: int, allowance: float
+        self,
+        pool_state: _PoolState,
+        order: Order,
+        now_ms: int,
+        allowance: float,
     ) -> None:
-        known.order = order
-        known.closing_ms = None
-        known.final_ms = None
+        pool_state.order = order
+        pool_state.closing_ms = None
+        pool_state.final_ms = None
         exposure = Exposure(self.limits.share, allowance)
-        known.rollout = Rollout(order, exposure, now_ms)
-        _log_change('roll-out ordered', known.rollout)
+        pool_state.rollout = Rollout(order, exposure, now_ms)
+        _log_change('rollout ordered', pool_state.rollout)
         if self.is_state_loaded:
-            self._apply_store_state(known, now_ms)
+            self._apply_store_state(pool_state, now_ms)
 
-    def _apply_store_state(self, known: _PoolState, now_ms: int) -> None:
-        """Bring a roll-out in line with what the store says of it."""
-        rollout = known.rollout
+    def _apply_store_state(self, pool_state: _PoolState, now_ms: int) -> None:
+        """Apply the store's status and step to a pool's rollout."""
+        rollout = pool_state.rollout
         if rollout is None:
             return
-        status = _status_for(known.status, rollout.order)
-        step = known.step
+        status = _status_for(pool_state.status, rollout.order)
+        step = pool_state.step
         if step is not None and step.order == rollout.order.version:
             started_ms = self.local_ms(step.since_ms)
             rollout.started_ms = min(rollout.started_ms, started_ms)
-            if step.is_closing and known.closing_ms is None:
-                known.closing_ms = now_ms
+            if step.is_closing and pool_state.closing_ms is None:
+                pool_state.closing_ms = now_ms
             rollout.apply_step(step)
         if status is not None:
             rollout.apply_status(status)
             if status.state.is_final:
-                known.final_ms = now_ms
-                known.rollout = None
-                _log_change('end of a roll-out', rollout)
+                pool_state.final_ms = now_ms
+                pool_state.rollout = None
+                _log_change('rollout finished', rollout)
 
     def _plan_change(self, pool: str, now_ms: int) -> Change | None:
-        """Give what the store should be told of one pool."""
-        known = self._pools[pool]
-        rollout = known.rollout
+        """Return the next write for one pool, if any."""
+        pool_state = self._pools[pool]
+        rollout = pool_state.rollout
         if rollout is None:
             return None
         order = rollout.order
-        step = known.step
+        step = pool_state.step
         if step is not None and step.order != order.version:
             step = None
         if rollout.is_rejected:
-            return self._build_change(known, rollout, State.rolled_back)
-        if step is None or _status_for(known.status, order) is None:
-            opened = Step(order.version, False, self.store_ms(now_ms), 0)
-            return self._build_change(known, rollout, State.running, opened)
+            return self._build_change(pool_state, rollout, State.rolled_back)
+        if step is None or _status_for(pool_state.status, order) is None:
+            new_step = Step(order.version, False, self.store_ms(now_ms), 0)
+            return self._build_change(
+                pool_state, rollout, State.running, new_step
+            )
         reports = self._collect_reports(pool, rollout)
         if reports is None:
             return None
         if step.is_closing:
-            return self._plan_end(known, rollout, reports, now_ms)
+            return self._plan_end(pool_state, rollout, reports, now_ms)
         closing = None
-        if all(report.stage in _MOVED for report in reports):
-            opened = Step(order.version, True, step.since_ms, 0)
-            closing = self._build_change(known, rollout, None, opened)
+        if all(report.stage in _MOVED_STAGES for report in reports):
+            new_step = Step(order.version, True, step.since_ms, 0)
+            closing = self._build_change(pool_state, rollout, None, new_step)
         return closing
 
     def _plan_end(
         self,
-        known: _PoolState,
+        pool_state: _PoolState,
         rollout: Rollout,
         reports: Sequence[Report],
         now_ms: int,
     ) -> Change | None:
-        """Let the old servers stop, once nobody has anything open there."""
-        if known.closing_ms is None or now_ms < known.closing_ms + _LISTED_MS:
+        """Finish once no gateway has open requests on the old version."""
+        if (
+            pool_state.closing_ms is None
+            or now_ms < pool_state.closing_ms + _GATEWAY_LISTING_MS
+        ):
             return None
-        if not all(map(_is_empty, reports)):
+        if not all(map(_is_drained, reports)):
             return None
-        return self._build_change(known, rollout, State.done)
+        return self._build_change(pool_state, rollout, State.done)
 
     def _collect_reports(
         self, pool: str, rollout: Rollout
     ) -> list[Report] | None:
-        """Give the word of each gateway that may serve, None if one lacks."""
+        """Return the reports of all gateways, None if one is missing."""
         others = self.list_reports()
         if others is None:
             return None
@@ -425,8 +442,8 @@
                 key, rollout.count_servers(self.backends_of(pool))
             )
         ]
-        for told in others:
-            report = told.get(key)
+        for by_pool in others:
+            report = by_pool.get(key)
             if report is None or report.order != rollout.order.version:
                 return None
             reports.append(report)
@@ -434,37 +451,37 @@
 
     def _build_change(
         self,
-        known: _PoolState,
+        pool_state: _PoolState,
         rollout: Rollout,
         state: State | None,
         step: Step | None = None,
     ) -> Change:
-        status, before = known.status, known.step
+        status, stored_step = pool_state.status, pool_state.step
         return Change(
             rollout.order.pool,
             rollout.order.target,
-            known.order.version if known.order else 0,
+            pool_state.order.version if pool_state.order else 0,
             status.version if status else 0,
-            before.version if before else 0,
+            stored_step.version if stored_step else 0,
             rollout.reason,
             state,
             step,
         )
 
 
-def _is_empty(report: Report) -> bool:
+def _is_drained(report: Report) -> bool:
     return report.stage is Stage.closed and not report.open_old
 
 
 def _status_for(status: Status | None, order: Order) -> Status | None:
-    """Give a status if it was written for this order, not an earlier one."""
+    """Return a status if it belongs to this order, not an earlier one."""
     if status is None or status.version < order.version:
         return None
     return status if status.target == order.target else None
 
 
 def _log_change(event: str, rollout: Rollout) -> None:
-    """Log one change of a roll-out, with what speaks for it."""
+    """Log a change of a rollout with its evidence."""
     answers = rollout.evidence.new_answers
     _logger.info(
         event,
--- a/seampond/rollouts/models.py
+++ b/seampond/rollouts/models.py
@@ -1,4 +1,4 @@
-"""What is known of a roll-out: the order, its state, what gateways report."""
+"""Data model of rollouts: orders, their states and gateways' reports."""
 
 import enum
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 
 @enum.unique
 class State(enum.Enum):
-    """What the store says of an order; the last two are final."""
+    """State of an order in the store; the last two are final."""
 
     running = 'running'
     done = 'done'
@@ -15,21 +15,21 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it never changes again."""
+        """Whether the state never changes again."""
         return self is not State.running
 
 
 @enum.unique
 class Stage(enum.IntEnum):
-    """How far one gateway has come with an order.
+    """Stage of an order at one gateway.
 
     Explanation
     -----------
-    In `trial` a small part of its requests goes to the new version, and once
-    that is proved more and more.  In `moved` all go there that find a place.
-    In `closed`, which it enters when the store says so, it never sends to the
-    old version again, unless the store says that the order is rolled back.
-    In `refused` it sends nothing to the new version.
+    In `trial` a small share of requests goes to the new version, and a growing
+    one after the version is proved.  In `moved` the new version is preferred.
+    In `closed`, which the store decides, nothing is sent to the old version
+    unless the order is rolled back.  In `refused` nothing is sent to the new
+    version.
     """
 
     trial = 1
@@ -45,9 +45,9 @@
     Parameters
     ----------
     version : int
-        The store's version of the row; each write of it is another order.
+        The store's version of the row; each write is a new order.
     target : str
-        The version of the servers' software that is to take the traffic.
+        The software version that receives the traffic.
 
     """
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """What the store says of the order for a target."""
+    """The store's row on the state of an order."""
 
     state: State
     target: str
@@ -68,16 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What the gateways have agreed on beside the status.
+    """The store's row on the progress of an order.
 
     Parameters
     ----------
     order : int
-        The version of the order that it belongs to.
+        Version of the order.
     is_closing : bool
-        Whether nobody sends to the old version any more.
+        Whether gateways no longer send to the old version.
     since_ms : int
-        The store's steady clock when the order was first seen.
+        When the order was first seen, on the store's monotonic clock.
     version : int
         The store's version of the row.
 
@@ -91,26 +91,27 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Answers of one version on one route, and the bad among them."""
+    """Number of answers of one version on one route, and of bad ones."""
 
     answers: int = 0
     bad: int = 0
 
     def add(self, other: 'Tally') -> None:
-        """Count others too."""
+        """Add another tally."""
         self.answers += other.answers
         self.bad += other.bad
 
-    def since(self, before: 'Tally') -> 'Tally':
-        """Give what has come since an earlier count, never less than none."""
+    def since(self, earlier: 'Tally') -> 'Tally':
+        """Return the increase since an earlier tally, at least 0."""
         return Tally(
-            max(0, self.answers - before.answers), max(0, self.bad - before.bad)
+            max(0, self.answers - earlier.answers),
+            max(0, self.bad - earlier.bad),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class TallyKey:
-    """The route, by its key, and whether the new version answered."""
+    """Key of a tally: the route's key, and whether the version is new."""
 
     route: int
     is_new: bool
@@ -118,18 +119,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What one gateway tells the others of an order.
+    """A gateway's report on an order.
 
     Parameters
     ----------
     pool : int
-        The key of the pool.
+        Key of the pool.
     order : int
-        The version of the order.
+        Version of the order.
     open_old : int
-        Its requests that are at work on servers of the old version.
+        The gateway's open requests on servers of the old version.
     tallies : Mapping[TallyKey, Tally]
-        What it has counted in this life.
+        Counts of the gateway's incarnation.
 
     """
 
@@ -142,22 +143,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A write to the store, made only if nothing it rests on has changed.
+    """A conditional write to the store.
 
     Parameters
     ----------
     pool : str
-        Whose roll-out it is.
+        Pool of the rollout.
     target : str
-        The version that the order names.
+        Target version of the order.
     order_version, status_version, step_version : int
-        The rows' versions that the decision rests on, 0 for no row.
+        Expected versions of the rows, 0 for no row.
     state : State or None
-        The state to write, None to leave it.
+        State to write, None to keep it.
     step : Step or None
-        The step to write, None to leave it.
+        Step to write, None to keep it.
     reason : str
-        Why, for the log.
+        Reason for the log.
 
     """
 
--- a/seampond/rollouts/rollout.py
+++ b/seampond/rollouts/rollout.py
@@ -1,4 +1,4 @@
-"""One order as one gateway carries it out."""
+"""A rollout as one gateway carries it out."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,41 +8,40 @@
 from seampond.rollouts.exposure import Exposure
 from seampond.rollouts.models import Order, Report, Stage, State, Status, Step
 
-# Some versions turn bad only later on, so a good one is not trusted sooner,
-# and one with too few answers to be proved is trusted then if none speak
-# against it: else a pool with little work would never get its new version.
-_LEAST_TRIAL_PART = 0.25
-_LATEST_TRIAL_PART = 0.5
-# Of an order of 12 s, a trial of 3 s and a rise of 1.6 s leave the old streams
-# 7 s to end; one in twenty takes over 4.5 s.
-_RISE_STEP_MS = 400
-_FIRST_PART = 0.1
-_WHOLE_PART = 1.0
-# On fewer servers than this a small part of the traffic would be no load, and
-# some versions are bad only under load.
-_TRIAL_SERVERS_PART = 0.2
-# The new servers have to have so many of the old ones' places.
-_LEAST_ROOM_PART = 0.5
+# Shares of an order's duration.  Before the first no version is accepted, since
+# some fail only after a while; after the second one with too few answers for a
+# verdict is, since a pool with little traffic would never be moved otherwise.
+_MIN_TRIAL_SHARE = 0.25
+_MAX_TRIAL_SHARE = 0.5
+# The traffic share doubles at this interval, to leave old streams time to end.
+_RAMP_STEP_MS = 400
+_INITIAL_TRAFFIC_SHARE = 0.1
+_ALL_TRAFFIC = 1.0
+# Share of the new servers used in a trial.  Few servers, since some versions
+# fail only under load.
+_TRIAL_SERVERS_SHARE = 0.2
+# Slots of the new version needed, as a share of the old version's.
+_MIN_SLOTS_SHARE = 0.5
 
 
 class VersionedServer(Protocol):
-    """A server, as far as a roll-out looks at it."""
+    """The attributes of a server that rollouts use."""
 
     @property
     def id(self) -> str:
-        """Its id."""
+        """Id of the server."""
 
     @property
     def version(self) -> str:
-        """The version of its software."""
+        """Version of its software."""
 
     @property
     def slots(self) -> int:
-        """How many requests it runs at once."""
+        """Number of requests that it runs concurrently."""
 
 
 class RolloutBackend(Protocol):
-    """What stands for a server where requests are placed."""
+    """The attributes of a backend that rollouts use."""
 
     @property
     def server(self) -> VersionedServer:
@@ -50,11 +49,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Our requests there."""
+        """Number of this gateway's open requests on the server."""
 
     @property
     def takes_work(self) -> bool:
-        """Whether the list lets us send to it."""
+        """Whether new requests may be sent to the server."""
 
 
 BackendT = TypeVar('BackendT', bound=RolloutBackend)
@@ -62,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolCounts:
-    """What the list says of the servers of a pool, by version.
+    """Slots and requests of a pool by version.
 
     Parameters
     ----------
     new_slots, old_slots : int
-        The places of those that may be sent to.
+        Slots of the servers that take new requests.
     open_old : int
-        Our requests on servers of another version than the target.
+        This gateway's open requests on servers other than the target version.
 
     """
 
@@ -80,16 +79,18 @@
 
 @dataclass
 class Rollout:
-    """One order as one gateway carries it out.
+    """A rollout as one gateway carries it out.
 
     Parameters
     ----------
     started_ms : int
-        Our clock when the order was given, as far as we know.
+        Local time of the order, as far as known.
     stage : Stage
-        Our own; the store's word moves it to `closed` and back.
+        Stage of this gateway.  Only the store moves it to or from `closed`.
     is_rejected : bool
-        Whether the version is bad, whatever stage we are bound to.
+        Whether the version was found bad, in any stage.
+    proved_ms : int or None
+        When the version was accepted and the ramp began.
 
     """
 
@@ -103,7 +104,7 @@
     proved_ms: int | None = None
 
     def count_servers(self, backends: Sequence[BackendT]) -> PoolCounts:
-        """Count a pool's servers by version."""
+        """Return the slots and open requests by version."""
         target = self.order.target
         new = [
             backend for backend in backends if backend.server.version == target
@@ -118,12 +119,12 @@
         )
 
     def reject(self, reason: str) -> None:
-        """Send nothing to the version any more, for good.
+        """Stop sending to the new version for good.
 
         Explanation
         -----------
-        Where the store may already have said that the old servers stop, they
-        are not sent to before it says that the order is rolled back.
+        A closed gateway keeps its stage until the store says that the order
+        is rolled back, since the old servers may be stopping.
         """
         if not self.is_rejected:
             self.is_rejected = True
@@ -132,7 +133,7 @@
             self.stage = Stage.refused
 
     def apply_status(self, status: Status) -> None:
-        """Follow what the store says."""
+        """Apply the order's status in the store."""
         if status.state is State.done:
             self.stage = Stage.closed
         elif status.state is State.rolled_back:
@@ -140,50 +141,49 @@
             self.stage = Stage.refused
 
     def apply_step(self, step: Step) -> None:
-        """Follow the store: nobody sends to the old version any more."""
+        """Close the old version if the store's step says so."""
         if step.is_closing and self.stage is not Stage.refused:
             self.stage = Stage.closed
 
-    def evaluate(self, now_ms: int, counted: PoolCounts) -> None:
-        """Decide by what is known now how far to go."""
+    def evaluate(self, now_ms: int, counts: PoolCounts) -> None:
+        """Update the stage by the evidence and the servers available."""
         if self.evidence.verdict is Verdict.bad:
             self.reject('bad answers')
         if self.is_rejected or self.stage is not Stage.trial:
             return
-        if not counted.old_slots and counted.new_slots:
+        if not counts.old_slots and counts.new_slots:
             self.reason = 'no other version serves'
             self.stage = Stage.moved
             return
-        if now_ms > self._deadline_ms and not counted.new_slots:
+        if now_ms > self._deadline_ms and not counts.new_slots:
             self.reject('no server of the version')
         elif self.proved_ms is None and self._is_trusted(now_ms):
             self.proved_ms = now_ms
         if (
-            self._has_enough_slots(counted)
-            and self.traffic_share(now_ms) >= _WHOLE_PART
+            self._has_enough_slots(counts)
+            and self.traffic_share(now_ms) >= _ALL_TRAFFIC
         ):
             self.stage = Stage.moved
 
     def traffic_share(self, now_ms: int) -> float:
-        """Give the part of our requests that goes to the new version."""
+        """Return the share of requests that goes to the new version."""
         if self.stage in {Stage.moved, Stage.closed}:
-            return _WHOLE_PART
+            return _ALL_TRAFFIC
         if self.stage is Stage.refused or self.proved_ms is None:
             return 0
-        steps = (now_ms - self.proved_ms) // _RISE_STEP_MS
-        return min(_WHOLE_PART, _FIRST_PART * 2**steps)
+        steps = (now_ms - self.proved_ms) // _RAMP_STEP_MS
+        return min(_ALL_TRAFFIC, _INITIAL_TRAFFIC_SHARE * 2**steps)
 
     def group_backends(
         self, backends: Sequence[BackendT], now_ms: int, draw: float | None
     ) -> tuple[list[BackendT], ...]:
-        """Give the servers to look at, those that come first before others.
+        """Return the backends that may be used, grouped by preference.
 
         Parameters
         ----------
         draw : float or None
-            From 0 to 1, drawn for the request; None for one that may not go
-            to a version that is not proved: it was sent before, or takes up
-            a stream.
+            Random number from 0 to 1, None for a request that must not go to
+            an unproved version: a further attempt or a resumed stream.
 
         """
         target = self.order.target
@@ -199,17 +199,17 @@
             return (new,)
         if self.stage is Stage.moved:
             return (new, old)
-        if draw is not None and self._is_due(now_ms, draw):
-            return (self._list_trial(new, now_ms), old)
+        if draw is not None and self._uses_new_version(now_ms, draw):
+            return (self._select_trial_backends(new, now_ms), old)
         return (old,) if old else (new,)
 
-    def build_report(self, pool: int, counted: PoolCounts) -> Report:
-        """Give what the other gateways are told."""
+    def build_report(self, pool: int, counts: PoolCounts) -> Report:
+        """Return the report for the other gateways."""
         return Report(
             pool,
             self.order.version,
             Stage.refused if self.is_rejected else self.stage,
-            counted.open_old,
+            counts.open_old,
             self.evidence.own,
         )
 
@@ -220,33 +220,34 @@
     def _is_trusted(self, now_ms: int) -> bool:
         age_ms = now_ms - self.started_ms
         duration_ms = self.order.duration_ms
-        if age_ms < duration_ms * _LEAST_TRIAL_PART:
+        if age_ms < duration_ms * _MIN_TRIAL_SHARE:
             return False
         if self.evidence.verdict is Verdict.good:
             return True
-        is_late = age_ms >= duration_ms * _LATEST_TRIAL_PART
+        is_late = age_ms >= duration_ms * _MAX_TRIAL_SHARE
         has_answered = bool(self.evidence.new_answers.answers)
-        # Where nobody asks for anything nobody can be harmed.
         is_idle = not self.evidence.totals
-        is_untouched = has_answered or is_idle
-        return is_late and is_untouched and not self.evidence.is_suspect
+        is_eligible = has_answered or is_idle
+        return is_late and is_eligible and not self.evidence.is_suspect
 
-    def _has_enough_slots(self, counted: PoolCounts) -> bool:
-        return counted.new_slots >= _LEAST_ROOM_PART * counted.old_slots
+    def _has_enough_slots(self, counts: PoolCounts) -> bool:
+        return counts.new_slots >= _MIN_SLOTS_SHARE * counts.old_slots
 
-    def _is_due(self, now_ms: int, draw: float) -> bool:
-        """Whether a request goes to the new version."""
+    def _uses_new_version(self, now_ms: int, draw: float) -> bool:
+        """Return True if a request goes to the new version."""
         if self.proved_ms is None:
             return self.exposure.may_expose
         return draw < self.traffic_share(now_ms)
 
-    def _list_trial(self, new: list[BackendT], now_ms: int) -> list[BackendT]:
-        """Give the few new servers that every gateway tries first."""
-        part = max(_TRIAL_SERVERS_PART, self.traffic_share(now_ms))
-        count = max(1, round(part * len(new)))
-        serving = [backend for backend in new if backend.takes_work]
-        return sorted(serving, key=_by_id)[:count]
+    def _select_trial_backends(
+        self, new: list[BackendT], now_ms: int
+    ) -> list[BackendT]:
+        """Return the new servers to use, the same few at every gateway."""
+        share = max(_TRIAL_SERVERS_SHARE, self.traffic_share(now_ms))
+        count = max(1, round(share * len(new)))
+        available = [backend for backend in new if backend.takes_work]
+        return sorted(available, key=_server_id)[:count]
 
 
-def _by_id(backend: RolloutBackend) -> str:
+def _server_id(backend: RolloutBackend) -> str:
     return backend.server.id
--- a/seampond/rollouts/tests/test_fleet.py
+++ b/seampond/rollouts/tests/test_fleet.py
@@ -424,7 +424,7 @@
 
     def test_an_end_with_open_work_is_found(self) -> None:
         """Where nobody looks whether the old version is empty."""
-        with mock.patch('seampond.rollouts.manager._is_empty', _always):
+        with mock.patch('seampond.rollouts.manager._is_drained', _always):
             fleet = Fleet(0, Behaviour(), 0, _LONG_MS)
             fleet.run()
         self.assertTrue(fleet.faults)
--- a/seampond/rollouts/tests/test_model.py
+++ b/seampond/rollouts/tests/test_model.py
@@ -382,7 +382,7 @@
 
     def test_search_finds_an_end_with_open_work(self) -> None:
         """Where nobody looks whether the old version is empty."""
-        with mock.patch('seampond.rollouts.manager._is_empty', _always):
+        with mock.patch('seampond.rollouts.manager._is_drained', _always):
             _, fault = explore(begin(0, 0))
         self.assertTrue(fault)
 
