--- a/seampond/forwarding/app.py
+++ b/seampond/forwarding/app.py
@@ -134,10 +134,10 @@
 class RequestHandler:
     """Handles one request of a caller."""
 
-    def __init__(self, web: GatewayApp, scope: Scope, send: Send) -> None:
+    def __init__(self, app: GatewayApp, scope: Scope, send: Send) -> None:
         """Record the arrival of the request."""
         self.has_started = False
-        self._web = web
+        self._app = app
         self._scope = scope
         self._send = send
         self._status = 0
@@ -148,7 +148,7 @@
             scope['method'].encode(),
             extensions[TARGET_KEY],
             scope['headers'],
-            web.clock.now(),
+            app.clock.now(),
         )
         task = asyncio.current_task()
         assert task is not None
@@ -164,7 +164,7 @@
             self._refund_if_not_run()
             raise
         finally:
-            self._web.buffered_bytes -= self._body_bytes
+            self._app.buffered_bytes -= self._body_bytes
             self._log_outcome(outcome)
 
     async def start(self, head: ResponseHead, length: int | None) -> None:
@@ -200,21 +200,21 @@
             self._refund_if_not_run()
             await self._refuse(refusal)
             return refusal.cause.value
-        except AbortedResponseError as cut:
+        except AbortedResponseError as error:
             # Without the last chunk, the web server closes the connection.
-            return f'cut: {cut}'
+            return f'cut: {error}'
         return 'answered'
 
     async def _forward(self, receive: Receive) -> None:
-        web = self._web
+        app = self._app
         body = await self._read_body(receive)
         self._body_bytes = len(body)
-        web.buffered_bytes += self._body_bytes
-        job = web.admission.admit(self._arrival, body)
+        app.buffered_bytes += self._body_bytes
+        job = app.admission.admit(self._arrival, body)
         self._progress = Progress(job, self)
         self._check_stop(job)
-        web.admission.check(job)
-        await web.forwarder.forward(self._progress)
+        app.admission.check(job)
+        await app.forwarder.forward(self._progress)
 
     def _check_stop(self, job: Job) -> None:
         """Refuse requests that a planned stop would abort.
@@ -225,11 +225,11 @@
         streaming is expected within its target; the duration of a stream is
         unknown.
         """
-        web = self._web
-        stop = web.stop
+        app = self._app
+        stop = app.stop
         if stop is None:
             return
-        now_ms = web.clock.now()
+        now_ms = app.clock.now()
         is_late = now_ms + job.route.target_ms > stop.close_ms
         if job.is_stream:
             is_late = now_ms > stop.accepts_until_ms
@@ -237,7 +237,7 @@
             raise Refusal(
                 Cause.stopping,
                 step='stop',
-                retry_after_ms=web.stop_retry_after_ms(stop),
+                retry_after_ms=app.stop_retry_after_ms(stop),
             )
         # The time-out is answered before the connection is closed.
         job.deadline_ms = min(job.deadline_ms, stop.close_ms)
@@ -247,12 +247,12 @@
     ) -> None:
         self.has_started = True
         self._status = status
-        if self._web.is_stopping and _CLOSE_HEADER not in headers:
+        if self._app.is_stopping and _CLOSE_HEADER not in headers:
             headers.append(_CLOSE_HEADER)
         if self._progress is not None:
             route = self._progress.job.route.name
-            waited_ms = self._web.clock.now() - self._arrival.arrived_ms
-            self._web.metrics.first_byte.labels(route).observe(
+            waited_ms = self._app.clock.now() - self._arrival.arrived_ms
+            self._app.metrics.first_byte.labels(route).observe(
                 waited_ms / MS_PER_SECOND
             )
         await self._send(
@@ -265,10 +265,10 @@
 
     def _refund_if_not_run(self) -> None:
         if self._progress and not self._progress.job.may_have_run:
-            self._web.admission.refund(self._progress.job)
+            self._app.admission.refund(self._progress.job)
 
     async def _read_body(self, receive: Receive) -> bytes:
-        limits = self._web.admission.limits
+        limits = self._app.admission.limits
         header_bytes = sum(
             len(name) + len(text) for name, text in self._arrival.headers
         )
@@ -285,7 +285,7 @@
             chunks.append(chunk)
             if not message.get('more_body'):
                 break
-        if self._web.buffered_bytes + size > _BUFFERED_MAX_BYTES:
+        if self._app.buffered_bytes + size > _BUFFERED_MAX_BYTES:
             raise Refusal(
                 Cause.no_memory, step='read', retry_after_ms=MS_PER_SECOND
             )
@@ -293,7 +293,7 @@
 
     async def _receive(self, receive: Receive) -> Message:
         """Return the next message; refuse the request on a time-out."""
-        idle_timeout_ms = self._web.admission.limits.idle_timeout_ms
+        idle_timeout_ms = self._app.admission.limits.idle_timeout_ms
         try:
             async with asyncio.timeout(idle_timeout_ms / MS_PER_SECOND):
                 message = await receive()
@@ -305,7 +305,7 @@
 
     async def _refuse(self, refusal: Refusal) -> None:
         if refusal.guarantees_not_run and self._progress is not None:
-            self._web.promises.check(
+            self._app.promises.check(
                 Rule.true_not_run,
                 not self._progress.job.may_have_run,
                 step='refuse',
@@ -320,16 +320,16 @@
             headers.append((b'retry-after', b'%.3f' % seconds))
         if refusal.closes_connection:
             headers.append(_CLOSE_HEADER)
-        self._web.metrics.refusals.labels(refusal.cause.value).inc()
+        self._app.metrics.refusals.labels(refusal.cause.value).inc()
         await self._start(refusal.status, headers)
         await self._send(_body_message(text, more=False))
 
     def _log_outcome(self, outcome: str) -> None:
-        progress, web = self._progress, self._web
+        progress, app = self._progress, self._app
         route = progress.job.route.name if progress else ''
         attempt_records = progress.attempt_records if progress else []
-        web.metrics.requests.labels(route, str(self._status)).inc()
-        request = self._arrival.get(web.admission.id_header)
+        app.metrics.requests.labels(route, str(self._status)).inc()
+        request = self._arrival.get(app.admission.id_header)
         level = logging.INFO
         if self._status >= HTTPStatus.BAD_REQUEST or outcome != 'answered':
             level = logging.WARNING
@@ -340,10 +340,10 @@
                 'request': request.decode('latin-1'),
                 'outcome': outcome,
                 'status': self._status,
-                'ms': web.clock.now() - self._arrival.arrived_ms,
-                'version': web.admission.version,
-                'proof_age_ms': web.admission.proof_age_ms,
-                'waiting': web.forwarder.waiting,
+                'ms': app.clock.now() - self._arrival.arrived_ms,
+                'version': app.admission.version,
+                'proof_age_ms': app.admission.proof_age_ms,
+                'waiting': app.forwarder.waiting,
                 'tried': [attempt.describe() for attempt in attempt_records],
             }
             | _describe_job(progress),
--- a/seampond/forwarding/connection.py
+++ b/seampond/forwarding/connection.py
@@ -12,9 +12,9 @@
 
 _HIGH_WATER_BYTES = 262_144
 _CONTINUE = 100
-_FIRST_FINAL = 200
-_NO_BODY = (204, 304)
-_USER_TIMEOUT_MS = 3000
+_FIRST_FINAL_STATUS = 200
+_STATUSES_WITHOUT_BODY = (204, 304)
+_TCP_USER_TIMEOUT_MS = 3000
 
 
 class Connection(asyncio.Protocol):
@@ -49,7 +49,7 @@
     _error: str
     _is_lost: bool
     _chunks: 'deque[bytes]'
-    _buffered: int
+    _buffered_bytes: int
 
     def __init__(self, peer: str, clock: Clock, id_header: bytes) -> None:
         """Initialize an unconnected protocol."""
@@ -86,7 +86,9 @@
             tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
             tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
             tcp_socket.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS
+                socket.IPPROTO_TCP,
+                socket.TCP_USER_TIMEOUT,
+                _TCP_USER_TIMEOUT_MS,
             )
 
     def send(
@@ -129,9 +131,9 @@
             await self._wait_for_data()
         chunks = b''.join(self._chunks)
         self._chunks.clear()
-        if self._buffered > _HIGH_WATER_BYTES and self._transport:
+        if self._buffered_bytes > _HIGH_WATER_BYTES and self._transport:
             self._transport.resume_reading()
-        self._buffered = 0
+        self._buffered_bytes = 0
         return chunks
 
     async def read_body(
@@ -243,7 +245,7 @@
         """Accept the head if it is final and answers the request."""
         head = self._parsed_head
         head.status = self._parser.get_status_code()
-        if head.status < _FIRST_FINAL or self._has_head:
+        if head.status < _FIRST_FINAL_STATUS or self._has_head:
             return
         if self._id_header and not self._matches_request(head):
             return
@@ -256,7 +258,7 @@
         self._ends_at_eof = not (
             head.has(b'content-length')
             or head.has(b'transfer-encoding')
-            or head.status in _NO_BODY
+            or head.status in _STATUSES_WITHOUT_BODY
         )
 
     def on_body(self, payload: bytes) -> None:
@@ -265,8 +267,8 @@
             return
         self._chunks.append(payload)
         self.received_bytes += len(payload)
-        self._buffered += len(payload)
-        if self._buffered > _HIGH_WATER_BYTES and self._transport:
+        self._buffered_bytes += len(payload)
+        if self._buffered_bytes > _HIGH_WATER_BYTES and self._transport:
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
@@ -304,7 +306,7 @@
         self._error = ''
         self._is_lost = False
         self._chunks = deque()
-        self._buffered = 0
+        self._buffered_bytes = 0
         self.received_bytes = 0
 
     def _raise_if_failed(self, step: str) -> None:
--- a/seampond/forwarding/forwarder.py
+++ b/seampond/forwarding/forwarder.py
@@ -77,7 +77,7 @@
         ------
         Refusal
             If no part of an answer was sent to the caller.
-        CutError
+        AbortedResponseError
             If the answer has begun and cannot be completed.
 
         """
--- a/seampond/forwarding/refusals.py
+++ b/seampond/forwarding/refusals.py
@@ -1,4 +1,4 @@
-"""Answers that a gateway gives itself, and their causes."""
+"""Refusals: requests that a gateway answers itself."""
 
 import enum
 from http import HTTPStatus
@@ -45,7 +45,7 @@
     (Cause.timeout, HTTPStatus.GATEWAY_TIMEOUT),
 )
 
-# Statuses that guarantee callers that the request may be sent again.
+# Callers rely on these statuses: the request did not run.
 _NOT_RUN_STATUSES = (
     _DEFAULT_STATUS,
     HTTPStatus.TOO_MANY_REQUESTS,
--- a/seampond/forwarding/signal_state.py
+++ b/seampond/forwarding/signal_state.py
@@ -39,7 +39,7 @@
     backoff_until_ms : int
         End of the back-off that the server requested.
     needs_probe : bool
-        Whether no request has been answered since the last back-off.
+        Whether the server has yet to answer a request after a back-off.
     limit : ServerLimit
         Limit on the requests of all gateways together.
 
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -142,9 +142,15 @@
         _, sink = await self._forward(_answer_misdirected, _serve, route=_ONCE)
         self.assertEqual(sink.body, b'whole')
         now_ms = Clock().now()
-        usable = [one for one in self.backends if one.is_usable(now_ms + 2000)]
+        usable = [
+            backend
+            for backend in self.backends
+            if backend.is_usable(now_ms + 2000)
+        ]
         self.assertEqual(len(usable), len(self.servers) - 1)
-        self.assertTrue(all(one.is_usable(now_ms + 9000) for one in usable))
+        self.assertTrue(
+            all(backend.is_usable(now_ms + 9000) for backend in usable)
+        )
 
     async def test_rejection_by_all_servers_means_not_run(self) -> None:
         """The refusal is a 503 with a retry time."""
@@ -215,7 +221,9 @@
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
-        await until_true(lambda: sum(one.left for one in self.servers) == 1)
+        await until_true(
+            lambda: sum(server.left for server in self.servers) == 1
+        )
         self.assertEqual(self.sends, 1)
 
     async def test_promises_stop_a_second_dispatch(self) -> None:
