--- a/seampond/testing/limited_fleet.py
+++ b/seampond/testing/limited_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways before servers with limits, on virtual time and a lossy network."""
+"""Gateways and servers with limits, on virtual time and a lossy network."""
 
 import asyncio
 import itertools
@@ -16,114 +16,129 @@
 from seampond.forwarding.scheduler import Scheduler
 from seampond.forwarding.server_signals import ServerSignals
 from seampond.permits.manager import PermitManager
-from seampond.permits.messages import PermitReply, PermitRequest, encode_permit
+from seampond.permits.messages import (
+    PermitReply,
+    PermitRequest,
+    encode_permit,
+)
 from seampond.sharing import Heartbeat, Peers, hash_name
 from seampond.testing.builders import build_promises
 from seampond.testing.gateways import NAMES, ZONE, build_job, build_server
 
 WINDOW_MS = 4000
-_LEEWAY = 1.5
-_LEEWAY_REQUESTS = 5
-_TOLD_MS = 500
-_RUN_MS = 30
+# A window may have this factor of the limit, and these requests beside it.
+_ALLOWED_FACTOR = 1.5
+_ALLOWED_EXTRA = 5
+# A gateway keeps to a limit this long after the first response reports it.
+_GRACE_MS = 500
+_SERVICE_MS = 30
 _DELAY_MS = (1, 4)
-_LEAST_BEAT_PART = 0.1
+_MIN_INTERVAL_SHARE = 0.1
 _SLOTS = 10
-# No caller waits longer before it comes back.
-_HEEDED_MS = 4000
+# Callers do not retry after a longer wait.
+_MAX_RETRY_AFTER_MS = 4000
 
 
 @dataclass
 class LimitedServer:
-    """One server, the limit that it names, and when it was sent to.
+    """A server, the limit that it reports and the requests it received.
 
     Parameters
     ----------
-    told_ms : dict[int, int]
-        When the life of a gateway first heard of the limit by an answer.
+    sent : list[tuple[int, int]]
+        Time and gateway incarnation of each request.
+    informed_ms : dict[int, int]
+        When a gateway incarnation first got a response with the limit.
 
     """
 
     id: str
     limit: float | None = None
     sent: list[tuple[int, int]] = field(default_factory=list)
-    told_ms: dict[int, int] = field(default_factory=dict)
+    informed_ms: dict[int, int] = field(default_factory=dict)
 
-    def note_sent(self, at_ms: int, gateway: int) -> None:
-        """Note a request of one life of a gateway."""
+    def record_request(self, at_ms: int, gateway: int) -> None:
+        """Record a request of a gateway incarnation."""
         self.sent.append((at_ms, gateway))
 
-    def worst_part(self, since_ms: int, limit: float) -> float:
-        """Give the worst window of those told as a part of what is allowed."""
-        counted = [
+    def worst_share(self, since_ms: int, limit: float) -> float:
+        """Return the busiest window as a share of what the limit allows."""
+        sent_times_ms = [
             at_ms
             for at_ms, gateway in self.sent
             if at_ms >= since_ms
-            and self.told_ms.get(gateway, at_ms) + _TOLD_MS <= at_ms
+            and self.informed_ms.get(gateway, at_ms) + _GRACE_MS <= at_ms
         ]
-        most = max(
+        peak = max(
             (
-                sum(at_ms - WINDOW_MS < one <= at_ms for one in counted)
-                for at_ms in counted
+                sum(
+                    end_ms - WINDOW_MS < at_ms <= end_ms
+                    for at_ms in sent_times_ms
+                )
+                for end_ms in sent_times_ms
             ),
             default=0,
         )
         seconds = WINDOW_MS / MS_PER_SECOND
-        return most / (_LEEWAY * limit * seconds + _LEEWAY_REQUESTS)
+        return peak / (_ALLOWED_FACTOR * limit * seconds + _ALLOWED_EXTRA)
 
     def count(self, since_ms: int, until_ms: int) -> int:
-        """Count what was sent in a span."""
+        """Count the requests of an interval."""
         return sum(since_ms <= at_ms < until_ms for at_ms, _ in self.sent)
 
 
 @dataclass
 class Network:
-    """What gateways send each other: late, lost, cut.
+    """A network between gateways with delay, loss and partitions.
 
     Parameters
     ----------
-    lost_part : float
-        How much is lost.
-    side_of : dict[str, int]
-        Who is cut off from whom: only those of one side hear each other.
+    loss_rate : float
+        Share of messages that are lost.
+    partition_of : dict[str, int]
+        Partition by gateway; messages between partitions are lost.
     permit_bytes : int
-        What was sent to ask for permits and to answer.
+        Size of all permit messages sent.
 
     """
 
     rng: random.Random
-    lost_part: float = 0
-    side_of: dict[str, int] = field(default_factory=dict)
+    loss_rate: float = 0
+    partition_of: dict[str, int] = field(default_factory=dict)
     permit_bytes: int = 0
 
     def deliver(
-        self, source: str, target: str, take: Callable[[], None]
+        self, source: str, target: str, deliver_message: Callable[[], None]
     ) -> None:
-        """Let `take` happen a little later, or never."""
-        is_cut = self.side_of.get(source, 0) != self.side_of.get(target, 0)
-        if is_cut or self.rng.random() < self.lost_part:
+        """Call `deliver_message` after a delay unless the message is lost."""
+        is_cut = self.partition_of.get(source, 0) != self.partition_of.get(
+            target, 0
+        )
+        if is_cut or self.rng.random() < self.loss_rate:
             return
         delay_ms = self.rng.uniform(*_DELAY_MS)
-        asyncio.get_running_loop().call_later(delay_ms / MS_PER_SECOND, take)
+        asyncio.get_running_loop().call_later(
+            delay_ms / MS_PER_SECOND, deliver_message
+        )
 
 
-MakePermits = Callable[[Peers, Clock, Backends], PermitSource]
+PermitSourceFactory = Callable[[Peers, Clock, Backends], PermitSource]
 
 
 class LimitedGateway:
-    """One gateway: its view of the others, its scheduler, its permits."""
+    """One gateway: its peers, its scheduler and its permits."""
 
     def __init__(
         self, name: str, fleet: 'LimitedFleet', incarnation: int
     ) -> None:
-        """Start without having heard of anybody."""
+        """Start without heartbeats of other gateways."""
         self.name = name
         self.is_stopping = False
         self.is_up = True
         self.fleet = fleet
         self.incarnation = incarnation
         self.peers = Peers(name, fleet.clock)
-        self.peers.apply_rows([(one, 'x:1') for one in fleet.names])
+        self.peers.apply_rows([(peer, 'x:1') for peer in fleet.names])
         self.heartbeat_requested = asyncio.Event()
         self.backends = Backends(
             fleet.clock, NAMES.request_id, hash_name=hash_name
@@ -137,9 +152,11 @@
         )
         self.permit_manager.send = self._send_permit
         self.backends.on_limit = self.permit_manager.record_report
-        permits: PermitSource = self.permit_manager
-        if fleet.make_permits is not None:
-            permits = fleet.make_permits(self.peers, fleet.clock, self.backends)
+        permit_source: PermitSource = self.permit_manager
+        if fleet.make_permit_source is not None:
+            permit_source = fleet.make_permit_source(
+                self.peers, fleet.clock, self.backends
+            )
         self.scheduler = Scheduler(
             self.backends,
             ZONE,
@@ -147,9 +164,9 @@
             lambda: self.peers.count,
             build_promises(),
         )
-        # Drawn anew, it would not play a seed twice alike.
+        # Uses the fleet's generator, to make runs reproducible.
         self.scheduler.availability = Availability(fleet.clock, fleet.rng)
-        self.scheduler.availability.permits = permits
+        self.scheduler.availability.permits = permit_source
         self.scheduler._rng = fleet.rng  # noqa: SLF001
         self.permit_manager.on_reply = self.scheduler.process_queues
         self.backends.replace_all(
@@ -157,29 +174,29 @@
         )
         self._sequence = 0
 
-    async def beat(self) -> None:
-        """Tell the others, at the pace of the fleet, until the end."""
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats at the usual interval until killed."""
         clock = self.fleet.clock
         while self.is_up:
-            self._tell_all()
+            self._send_heartbeat_to_all()
             self.peers.record_silent_peers()
-            least_ms = self.peers.heartbeat_interval_ms * _LEAST_BEAT_PART
-            await clock.sleep(least_ms)
+            min_ms = self.peers.heartbeat_interval_ms * _MIN_INTERVAL_SHARE
+            await clock.sleep(min_ms)
             with suppress(TimeoutError):
                 seconds = (
-                    self.peers.heartbeat_interval_ms - least_ms
+                    self.peers.heartbeat_interval_ms - min_ms
                 ) / MS_PER_SECOND
                 async with asyncio.timeout(seconds):
                     await self.heartbeat_requested.wait()
             self.heartbeat_requested.clear()
 
-    def hear(self, heartbeat: Heartbeat) -> None:
-        """Take what another has told."""
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Handle another gateway's heartbeat."""
         if self.is_up and self.peers.apply_heartbeat(heartbeat):
             self.permit_manager.apply_reports(heartbeat.limit_reports)
 
     def handle_permit(self, message: PermitRequest | PermitReply) -> None:
-        """Take what another asks or answers."""
+        """Handle another gateway's permit message."""
         if not self.is_up:
             return
         if isinstance(message, PermitRequest):
@@ -188,12 +205,12 @@
             self.permit_manager.handle_reply(message)
 
     async def serve(self, request_id: str, *, is_retry: bool) -> int | None:
-        """Carry a request through.
+        """Serve a request.
 
         Returns
         -------
         int or None
-            None where it was served, else when to come back.
+            None if it was served, else the milliseconds until a retry.
 
         """
         clock = self.fleet.clock
@@ -204,21 +221,21 @@
             return refusal.retry_after_ms
         sent_ms = clock.now()
         server = self.fleet.by_id[backend.server.id]
-        server.note_sent(sent_ms, self.incarnation)
+        server.record_request(sent_ms, self.incarnation)
         limit = server.limit
-        await clock.sleep(_RUN_MS)
+        await clock.sleep(_SERVICE_MS)
         if self.is_up:
             if limit is not None:
-                server.told_ms.setdefault(self.incarnation, clock.now())
-            words = ServerSignals(limit=limit)
-            self.backends.apply_signals(backend, words, sent_ms)
+                server.informed_ms.setdefault(self.incarnation, clock.now())
+            signals = ServerSignals(limit=limit)
+            self.backends.apply_signals(backend, signals, sent_ms)
             self.scheduler.release(backend)
         return None
 
-    def _tell_all(self) -> None:
+    def _send_heartbeat_to_all(self) -> None:
         self.permit_manager.expire()
         self._sequence += 1
-        told = Heartbeat(
+        heartbeat = Heartbeat(
             self.name,
             self.incarnation,
             self._sequence,
@@ -226,9 +243,9 @@
             limit_reports=self.permit_manager.collect_reports(),
             issues_permits=True,
         )
-        # A set of names has another order in each process, a seed must not.
+        # Sorted, to make runs reproducible.
         for name in sorted(self.peers.names):
-            self.fleet.tell(self.name, name, told)
+            self.fleet.send_heartbeat(self.name, name, heartbeat)
 
     def _send_permit(
         self, name: str, message: PermitRequest | PermitReply
@@ -242,7 +259,7 @@
 
 
 class LimitedFleet:
-    """Such gateways and servers, and the callers before them."""
+    """Gateways, servers with limits, and callers."""
 
     def __init__(
         self,
@@ -250,22 +267,24 @@
         rng: random.Random,
         gateways: int,
         servers: int,
-        make_permits: MakePermits | None = None,
+        make_permit_source: PermitSourceFactory | None = None,
     ) -> None:
         """Start the gateways."""
         self.clock = clock
         self.rng = rng
-        self.make_permits = make_permits
+        self.make_permit_source = make_permit_source
         self.network = Network(rng)
         self.names = [f'g{number}' for number in range(gateways)]
-        self.servers = [LimitedServer(f'i-{one}') for one in range(servers)]
+        self.servers = [
+            LimitedServer(f'i-{number}') for number in range(servers)
+        ]
         self.by_id = {server.id: server for server in self.servers}
         self.gateways: dict[str, LimitedGateway] = {}
         self.served = 0
-        self.asked = 0
-        self.come_back = False
-        self.came_back = 0
-        self.served_later = 0
+        self.calls = 0
+        self.callers_retry = False
+        self.retried = 0
+        self.served_on_retry = 0
         self.waits_ms: list[int] = []
         self.refused_ms: list[int] = []
         self._ids: Iterator[int] = itertools.count()
@@ -274,81 +293,91 @@
             self.start(name)
 
     def start(self, name: str) -> None:
-        """Start a gateway that knows nothing of an earlier life."""
+        """Start a new incarnation of a gateway."""
         gateway = LimitedGateway(name, self, next(self._ids))
         self.gateways[name] = gateway
-        self._spawn(gateway.beat())
+        self._spawn(gateway.send_heartbeats())
 
     def kill(self, name: str) -> None:
-        """End a gateway without a word."""
+        """Kill a gateway without notice."""
         self.gateways[name].is_up = False
 
     def stop(self, name: str) -> None:
-        """Let a gateway say that it is about to stop."""
+        """Announce a planned stop of a gateway."""
         self.gateways[name].is_stopping = True
 
-    def cut(self, rng: random.Random) -> None:
-        """Cut some gateways off from the others."""
-        self.network.side_of = {name: rng.randrange(2) for name in self.names}
+    def partition(self, rng: random.Random) -> None:
+        """Split the network into two random partitions."""
+        self.network.partition_of = {
+            name: rng.randrange(2) for name in self.names
+        }
 
     def heal(self) -> None:
-        """End cuts, and start what was killed."""
-        self.network.side_of = {}
+        """End partitions and restart killed gateways."""
+        self.network.partition_of = {}
         for name, gateway in list(self.gateways.items()):
             if not gateway.is_up:
                 self.start(name)
 
     def restart(self, name: str) -> None:
-        """End a gateway and start it anew."""
+        """Kill a gateway and start it again."""
         self.kill(name)
         self.start(name)
 
-    def used_part(self, since_ms: int, until_ms: int) -> float:
-        """Give what was sent as a part of the limits' sum."""
+    def used_share(self, since_ms: int, until_ms: int) -> float:
+        """Return the requests sent as a share of what the limits allow."""
         sent = sum(server.count(since_ms, until_ms) for server in self.servers)
         limits = sum(server.limit or 0 for server in self.servers)
         return sent / (limits * (until_ms - since_ms) / MS_PER_SECOND)
 
-    def tell(self, source: str, target: str, told: Heartbeat) -> None:
+    def send_heartbeat(
+        self, source: str, target: str, heartbeat: Heartbeat
+    ) -> None:
         """Send a heartbeat."""
         self.network.deliver(
-            source, target, lambda: self.gateways[target].hear(told)
+            source,
+            target,
+            lambda: self.gateways[target].receive_heartbeat(heartbeat),
         )
 
-    async def drive(self, rate: float, for_ms: int) -> None:
-        """Bring requests at random moments, at gateways in turn."""
+    async def send_requests(self, rate: float, for_ms: int) -> None:
+        """Send requests at random times through random gateways."""
         until_ms = self.clock.now() + for_ms
         while self.clock.now() < until_ms:
             await self.clock.sleep(self.rng.expovariate(rate / MS_PER_SECOND))
             name = self.rng.choice(self.names)
-            self._spawn(self._ask(name))
+            self._spawn(self._call(name))
 
     async def close(self) -> None:
-        """End all gateways."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _ask(self, name: str) -> None:
+    async def _call(self, name: str) -> None:
         gateway = self.gateways[name]
         if not gateway.is_up:
             return
         since_ms = self.clock.now()
-        self.asked += 1
-        later_ms = await gateway.serve(f'r{next(self._ids)}', is_retry=False)
-        if later_ms is None:
+        self.calls += 1
+        retry_after_ms = await gateway.serve(
+            f'r{next(self._ids)}', is_retry=False
+        )
+        if retry_after_ms is None:
             self.served += 1
-            self.waits_ms.append(self.clock.now() - since_ms - _RUN_MS)
+            self.waits_ms.append(self.clock.now() - since_ms - _SERVICE_MS)
             return
         self.refused_ms.append(self.clock.now() - since_ms)
-        if self.come_back and later_ms <= _HEEDED_MS:
-            self.came_back += 1
-            await self.clock.sleep(later_ms)
+        if self.callers_retry and retry_after_ms <= _MAX_RETRY_AFTER_MS:
+            self.retried += 1
+            await self.clock.sleep(retry_after_ms)
             gateway = self.gateways[self.rng.choice(self.names)]
-            later_ms = await gateway.serve(f'r{next(self._ids)}', is_retry=True)
-            self.served_later += later_ms is None
+            retry_after_ms = await gateway.serve(
+                f'r{next(self._ids)}', is_retry=True
+            )
+            self.served_on_retry += retry_after_ms is None
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
