--- a/seampond/watches/tests/test_eras.py
+++ b/seampond/watches/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""What proves a table to be current when its store has been restored."""
+"""Tests of freshness proofs across a restore of the store."""
 
 import unittest
 
@@ -16,10 +16,10 @@
 
 
 class ErasTest(unittest.TestCase):
-    """A belief that was read whole after a restore."""
+    """A snapshot that was read after a restore."""
 
     def setUp(self) -> None:
-        """Hold what the restored store had."""
+        """Apply a snapshot of the restored store."""
         self.proved: list[int] = []
         self.freshness = TableFreshness(
             Clock(lambda: 1000), StoreClock(), self.proved.append
@@ -28,18 +28,18 @@
         self.freshness.check(page)
         self.freshness.apply_page(page)
 
-    def test_a_proof_of_before_proves_nothing(self) -> None:
-        """What was the newest change then may be lost."""
+    def test_proof_of_earlier_era_is_ignored(self) -> None:
+        """A change from before the restore may be lost."""
         self.freshness.apply_proof(FreshnessProof(_BEFORE, 5100))
         self.assertEqual(self.proved, [])
         self.assertFalse(self.freshness.is_behind)
 
-    def test_a_proof_of_after_proves(self) -> None:
-        """Its number is smaller, and its era is ours."""
+    def test_proof_of_same_era_is_accepted(self) -> None:
+        """A smaller revision of the current era must count as a proof."""
         self.freshness.apply_proof(FreshnessProof(_AFTER, 5100))
         self.assertEqual(len(self.proved), 1)
 
-    def test_a_later_era_is_news(self) -> None:
-        """Whatever its number."""
+    def test_later_era_is_a_missing_change(self) -> None:
+        """A later era must be missing whatever its revision."""
         self.freshness.apply_proof(FreshnessProof(make_version(3, 1), 5100))
         self.assertTrue(self.freshness.is_behind)
--- a/seampond/watches/tests/test_narrow_links.py
+++ b/seampond/watches/tests/test_narrow_links.py
@@ -1,4 +1,7 @@
-"""Watches under cuts, lost histories and narrow links, on virtual time."""
+"""Tests of watches under outages, lost history and narrow links.
+
+They run on virtual time.
+"""
 
 import asyncio
 import random
@@ -22,44 +25,44 @@
 )
 
 _PROOF_AGE_MS = 1500
-_BEAT_MS = 300
+_HEARTBEAT_MS = 300
 _HISTORY_MS = 20_000
 _WAIT_MS = 15_000
-# What a process is given after a cut, and then for each change.
-_CONTACT_MS = 4000
+# Time allowed after an outage, and for each change.
+_RECOVERY_MS = 4000
 _DEADLINE_MS = 3000
 _LENGTH_MS = 40_000
 _STEP_MS = 100
 _FOLLOWERS = 2
-_ONE_LOST_OF = 10
-# 5 Mbit/s, in bytes a millisecond.
+_LOSS_DIVISOR = 10
+# 5 Mbit/s in bytes per millisecond.
 _NARROW = 625.0
-# More than the link carries is written for a while only, then seldom.
+# Changes beyond this fraction of the bandwidth come only in an initial burst.
 _CARRIED_PART = 0.8
-_STORM_MS = 6000
+_BURST_MS = 6000
 _STORM_GAP_MS = 300
-_CALM_MS = 3000
-# A falsified example is told as it was found: to shrink one takes minutes.
+_SLOW_GAP_MS = 3000
+# Failing examples are not shrunk, which would take minutes.
 _PHASES = (Phase.explicit, Phase.generate)
 
 
 def _first() -> int:
-    """Ask before all others."""
+    """Rank before all others."""
     return 0
 
 
 @dataclass
 class Process:
-    """One that keeps a belief of the table."""
+    """Process that keeps a copy of the table."""
 
     number: int
     table: SharedTable
     link: Link
     healed_ms: int = 0
-    held: dict[str, int] = field(default_factory=dict)
+    versions: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Wire the watch."""
+        """Build the watch."""
         clock = self.table.clock
         self.freshness = TableFreshness(
             clock, StoreClock(), lambda proved_ms: None
@@ -67,7 +70,7 @@
         self.watch = Watch(
             LinkedSource(self.table, self.link),
             LinkedSource(self.table, self.link),
-            self.take,
+            self.apply_page,
             _WAIT_MS,
             clock,
             lambda step: None,
@@ -75,24 +78,24 @@
             is_follower=lambda: self.number < _FOLLOWERS,
         )
 
-    def take(self, page: Page) -> None:
-        """Hold what an answer tells."""
+    def apply_page(self, page: Page) -> None:
+        """Record the versions of an answer."""
         if page.is_snapshot:
-            self.held.clear()
-        self.held |= {row.key: row.version for row in page.rows}
+            self.versions.clear()
+        self.versions |= {row.key: row.version for row in page.rows}
 
     def find_late(self) -> list[str]:
-        """Give the rows that should be held in a newer version by now."""
+        """Return the rows whose newer version is overdue."""
         now_ms = self.table.clock.now()
-        if self.link.is_cut or now_ms < self.healed_ms + _CONTACT_MS:
+        if self.link.is_cut or now_ms < self.healed_ms + _RECOVERY_MS:
             return []
         due = self.table.newest_before(now_ms - _DEADLINE_MS)
-        return [key for key in due if self.held.get(key, 0) < due[key]]
+        return [key for key in due if self.versions.get(key, 0) < due[key]]
 
 
 @dataclass(frozen=True)
 class Cut:
-    """A cut of one process."""
+    """Outage of the link of one process."""
 
     number: int
     at_ms: int
@@ -126,7 +129,7 @@
         self.late: list[str] = []
 
     async def run(self, cuts: list[Cut], gap_ms: int, size: int) -> None:
-        """Change the row again and again; note who is late."""
+        """Change the row repeatedly; record overdue versions."""
         clock = self.table.clock
         async with run_tasks(
             *(process.watch.run() for process in self.processes),
@@ -134,7 +137,7 @@
                 probe_when_stale(process.watch, _PROOF_AGE_MS, _first, clock)
                 for process in self.processes
             ),
-            self._tell(),
+            self._send_proofs(),
             self._change(gap_ms, size),
             *(self._cut(cut) for cut in cuts),
         ):
@@ -150,28 +153,30 @@
                 )
 
     async def _change(self, gap_ms: int, size: int) -> None:
-        is_carried = size < gap_ms * _NARROW * _CARRIED_PART
+        is_sustainable = size < gap_ms * _NARROW * _CARRIED_PART
         while True:
-            is_storm = self.table.clock.now() < _STORM_MS
-            is_soon = is_carried or is_storm
-            await self.table.clock.sleep(gap_ms if is_soon else _CALM_MS)
+            is_burst = self.table.clock.now() < _BURST_MS
+            is_frequent = is_sustainable or is_burst
+            await self.table.clock.sleep(
+                gap_ms if is_frequent else _SLOW_GAP_MS
+            )
             self.table.put('whole', size)
-            known = self.table.newest_before(
+            retained = self.table.newest_before(
                 self.table.clock.now() - _HISTORY_MS
             )
-            self.table.oldest = max(known.values(), default=0)
+            self.table.oldest = max(retained.values(), default=0)
 
-    async def _tell(self) -> None:
+    async def _send_proofs(self) -> None:
         while True:
-            await self.table.clock.sleep(_BEAT_MS)
+            await self.table.clock.sleep(_HEARTBEAT_MS)
             for process in self.processes:
                 proof = process.freshness.proof
                 if proof is not None:
-                    self._pass_on(process, proof)
+                    self._deliver_proof(process, proof)
 
-    def _pass_on(self, process: Process, proof: FreshnessProof) -> None:
+    def _deliver_proof(self, process: Process, proof: FreshnessProof) -> None:
         for other in self.processes:
-            if other is not process and self.rng.randrange(_ONE_LOST_OF):
+            if other is not process and self.rng.randrange(_LOSS_DIVISOR):
                 other.freshness.apply_proof(proof)
 
     async def _cut(self, cut: Cut) -> None:
@@ -187,7 +192,7 @@
 
 
 def play(seed: int, cuts: list[Cut], gap_ms: int, size: int) -> list[str]:
-    """Let a fleet live; give who was late first."""
+    """Run a fleet; return the first overdue versions."""
     late: list[str] = []
 
     async def run(clock: Clock) -> None:
@@ -201,7 +206,11 @@
 
 
 class NarrowLinkTest(unittest.TestCase):
-    """Who reaches the store again holds each change in time."""
+    """Processes with access to the store must receive changes in time.
+
+    Hypothesis derives its seed from the source of the property test, so that
+    one stays as it is.
+    """
 
     @settings(max_examples=40, deadline=None, derandomize=True, phases=_PHASES)
     @given(
@@ -221,11 +230,8 @@
         least_ms = round(size / _NARROW / _CARRIED_PART)
         self.assertEqual(play(seed, cuts, max(gap_ms, least_ms), size), [])
 
-    def test_storm_of_large_versions(self) -> None:
-        """Versions are written for a while faster than they come.
-
-        Each answer has to tell of more of them than the one before.
-        """
+    def test_burst_of_large_versions(self) -> None:
+        """Versions written faster than the link must not grow the delay."""
         for size in (250_000, 300_000, 350_000, 420_000):
             with self.subTest(size=size):
                 self.assertEqual(play(0, [], _STORM_GAP_MS, size), [])
--- a/seampond/watches/tests/test_watch.py
+++ b/seampond/watches/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""Following a table: stale reads, lost history, failures."""
+"""Tests of following a table: stale reads, lost history and failures."""
 
 import asyncio
 import unittest
@@ -24,28 +24,28 @@
 
 
 def _never() -> bool:
-    """Leave the table to others."""
+    """Follow no feed."""
     return False
 
 
 class ListedSource:
-    """Gives listed answers in turn; then waits for ever."""
+    """Source that returns listed answers in turn and then blocks."""
 
     name = 'test'
 
     def __init__(self, *answers: Page | Exception) -> None:
-        """Keep the answers."""
+        """Store the answers."""
         self._answers = list(answers)
         self.calls: list[str] = []
         self.waits: list[int] = []
         self.is_over = asyncio.Event()
 
     async def read_all(self) -> Page:
-        """Give the next answer."""
+        """Return the next answer."""
         return await self._next('all')
 
     async def read_changes(self, since: int, wait_ms: int) -> Page:
-        """Give the next answer."""
+        """Return the next answer."""
         self.waits.append(wait_ms)
         return await self._next(f'since {since}')
 
@@ -60,8 +60,8 @@
         return answer
 
 
-def build_currency(clock: Clock | None = None) -> TableFreshness:
-    """Give a currency that tells nobody."""
+def build_freshness(clock: Clock | None = None) -> TableFreshness:
+    """Return a freshness without a callback."""
     return TableFreshness(
         clock or Clock(), StoreClock(), lambda proved_ms: None
     )
@@ -72,95 +72,95 @@
     probe_source: ListedSource | None = None,
     **changes: Any,
 ) -> Watch:
-    """Give a watch that takes everything."""
+    """Return a watch that accepts every page."""
     content: dict[str, Any] = {
         'apply': lambda page: None,
         'wait_ms': 1000,
         'clock': Clock(),
         'count_failure': lambda step: None,
-        'freshness': build_currency(),
+        'freshness': build_freshness(),
     }
     probes = probe_source or ListedSource()
     return Watch(source, probes, **(content | changes))
 
 
 def hold(freshness: TableFreshness, page: Page) -> None:
-    """Let a belief be as current as an answer says."""
+    """Apply a page to a freshness."""
     freshness.check(page)
     freshness.apply_page(page)
 
 
-class NotedClock(Clock):
-    """A clock that notes how long is slept, and does not sleep."""
+class RecordingClock(Clock):
+    """Clock that records sleeps instead of sleeping."""
 
     def __init__(self) -> None:
-        """Start with no sleep noted."""
+        """Start without recorded sleeps."""
         super().__init__()
         self.__dict__['sleeps'] = []
 
     async def sleep(self, duration_ms: float) -> None:
-        """Note the sleep."""
+        """Record the sleep."""
         self.__dict__['sleeps'].append(duration_ms)
         await asyncio.sleep(0)
 
 
-class SkippingClock(ManualClock):
-    """A clock that is told the time, and on which a sleep takes none."""
+class InstantClock(ManualClock):
+    """Manual clock on which a sleep takes no time."""
 
     async def sleep(self, duration_ms: float) -> None:
-        """Let others run."""
+        """Yield to other tasks."""
         await asyncio.sleep(0)
 
 
-class HeldClock(Clock):
-    """A clock on which a sleep never ends."""
+class BlockedClock(Clock):
+    """Clock on which a sleep never ends."""
 
     def __init__(self) -> None:
-        """Start with nobody asleep."""
+        """Start without a sleeping task."""
         super().__init__()
-        self.__dict__['held'] = asyncio.Event()
+        self.__dict__['blocked'] = asyncio.Event()
 
     async def sleep(self, duration_ms: float) -> None:
-        """Tell of the sleep, and sleep for ever."""
-        self.__dict__['held'].set()
+        """Signal the sleep and never return."""
+        self.__dict__['blocked'].set()
         await asyncio.Event().wait()
 
 
 class RecordingFreshness(TableFreshness):
-    """A currency that notes how long is waited for a change."""
+    """Freshness that records waits instead of waiting."""
 
     def __init__(self, *words: Any) -> None:
-        """Start with no wait noted."""
+        """Start without recorded waits."""
         super().__init__(*words)
         self.pauses: list[int] = []
 
     async def wait_until_behind(self, timeout_ms: int) -> None:
-        """Note the wait."""
+        """Record the wait."""
         self.pauses.append(timeout_ms)
         await asyncio.sleep(0)
 
 
 class WatchTest(unittest.IsolatedAsyncioTestCase):
-    """What a watch asks, and what it takes."""
+    """Calls that a watch makes and answers that it applies."""
 
-    async def test_reads_once_then_follows(self) -> None:
-        """One whole read; changes from there."""
-        calls, taken, _ = await self._follow(
+    async def test_reads_snapshot_then_changes(self) -> None:
+        """A table must not be read in full more than once."""
+        calls, applied, _ = await self._follow(
             _page(3, 'a', is_snapshot=True), _page(5, 'b')
         )
         self.assertEqual(calls, ['all', 'since 3', 'since 5'])
-        self.assertEqual(taken, [3, 5])
+        self.assertEqual(applied, [3, 5])
 
-    async def test_first_changes_are_asked_for_at_once(self) -> None:
-        """Only a feed proves what is newest; a start cannot wait for it."""
+    async def test_first_call_for_changes_does_not_wait(self) -> None:
+        """A snapshot must be confirmed at once after a start."""
         await self._follow(_page(3, is_snapshot=True), _page(3), _page(5))
         self.assertEqual(self.waits, [0, 1000, 1000])
 
-    async def test_changes_are_gathered(self) -> None:
-        """After a change the next ones are asked for a little later."""
+    async def test_changes_are_batched(self) -> None:
+        """A pause must follow each change."""
         whole = _page(3, 'a', is_snapshot=True)
         source = ListedSource(whole, _page(3), _page(5, 'b'), _page(7, 'c'))
-        clock = NotedClock()
+        clock = RecordingClock()
         watch = build_watch(source, clock=clock, batch_pause_ms=250)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
@@ -169,7 +169,7 @@
         self.assertEqual(clock.__dict__['sleeps'], [250, 250])
 
     async def test_first_call_after_a_failure_does_not_wait(self) -> None:
-        """Its answer proves at once what was in doubt."""
+        """Freshness must be proved at once after an outage."""
         await self._follow(
             _page(3, is_snapshot=True),
             _page(3),
@@ -178,39 +178,39 @@
         )
         self.assertEqual(self.waits, [0, 1000, 0, 1000])
 
-    async def test_who_need_not_follow_asks_nothing(self) -> None:
-        """After the read that starts it; others pass changes on."""
+    async def test_non_follower_does_not_poll(self) -> None:
+        """Only the reads after the start may call the store."""
         source = ListedSource(_page(3, is_snapshot=True), _page(3))
-        clock = HeldClock()
+        clock = BlockedClock()
         watch = build_watch(source, clock=clock, is_follower=_never)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
-            await clock.__dict__['held'].wait()
+            await clock.__dict__['blocked'].wait()
         self.assertEqual(source.calls, ['all', 'since 3'])
 
-    async def test_what_is_passed_on_is_taken_without_a_gap(self) -> None:
-        """From what we hold or before; else we have to ask."""
-        taken: list[int] = []
+    async def test_relayed_page_with_gap_is_ignored(self) -> None:
+        """Changes between the version held and the page must not be lost."""
+        applied: list[int] = []
         source = ListedSource(_page(3, is_snapshot=True), _page(3))
         watch = build_watch(
-            source, apply=lambda page: taken.append(page.version)
+            source, apply=lambda page: applied.append(page.version)
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
             await source.is_over.wait()
         watch.apply_relayed(4, _page(6, 'x'))
-        self.assertEqual(taken, [3, 3])
+        self.assertEqual(applied, [3, 3])
         watch.apply_relayed(2, _page(5, 'a'))
         watch.apply_relayed(3, _page(4, 'old'))
         watch.apply_relayed(5, _page(7, 'b'))
-        self.assertEqual(taken, [3, 3, 5, 7])
+        self.assertEqual(applied, [3, 3, 5, 7])
         self.assertEqual(watch.freshness.version, 7)
 
-    async def test_only_news_is_passed_on(self) -> None:
-        """What others have told us of already need not be told again."""
-        told: list[tuple[int, int]] = []
+    async def test_known_changes_are_not_relayed(self) -> None:
+        """Changes that other processes reported must not be sent again."""
+        reported: list[tuple[int, int]] = []
         source = ListedSource(
             _page(3, is_snapshot=True), _page(3), _page(5, 'a')
         )
@@ -218,23 +218,23 @@
         watch = build_watch(
             source,
             probe_source,
-            relay=lambda since, page: told.append((since, page.version)),
+            relay=lambda since, page: reported.append((since, page.version)),
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
             await source.is_over.wait()
-        self.assertEqual(told, [(3, 3), (3, 5)])
+        self.assertEqual(reported, [(3, 3), (3, 5)])
         watch.freshness.apply_proof(FreshnessProof(8, 1))
         self.assertTrue(await watch.probe())
-        self.assertEqual(told, [(3, 3), (3, 5)])
+        self.assertEqual(reported, [(3, 3), (3, 5)])
 
-    async def test_who_does_not_follow_asks_on_after_a_failure(self) -> None:
-        """A probe that fails opens the feed again, at its pauses."""
+    async def test_non_follower_retries_after_failure(self) -> None:
+        """After a failed probe the call must be repeated."""
         whole, still = _page(3, is_snapshot=True), _page(3)
         source = ListedSource(whole, still, _page(4))
         probe_source = ListedSource(PlatformError('is down', step='read'))
-        clock = NotedClock()
+        clock = RecordingClock()
         watch = build_watch(
             source, probe_source, clock=clock, is_follower=_never
         )
@@ -248,136 +248,136 @@
                 await asyncio.sleep(0)
         self.assertFalse(watch.is_failing)
 
-    async def test_who_is_proved_by_others_asks_seldom(self) -> None:
-        """A store that turns one away is not asked on and on."""
+    async def test_pauses_grow_with_proofs_of_others(self) -> None:
+        """Failed calls need few retries while other processes give proofs."""
         self.assertGreater(max(await self._fail(proved_ms=10_000)), 600)
         self.assertLessEqual(max(await self._fail(proved_ms=1000)), 200)
 
-    async def test_of_many_each_asks_more_seldom(self) -> None:
-        """The first answer after an outage reaches all."""
+    async def test_pauses_grow_with_fleet(self) -> None:
+        """Retries of a large fleet must not overload the store."""
         pauses = await self._fail(proved_ms=1000, interval_factor=lambda: 4)
         self.assertGreater(max(pauses), 300)
         self.assertLessEqual(max(pauses), 800)
 
-    async def test_lost_history_is_read_again(self) -> None:
-        """A compacted history costs one whole read."""
+    async def test_lost_history_leads_to_snapshot(self) -> None:
+        """After a compaction of the history a snapshot must be read."""
         gone = HistoryGoneError('gone', step='read')
-        calls, taken, _ = await self._follow(
+        calls, applied, _ = await self._follow(
             _page(3, is_snapshot=True), gone, _page(9, is_snapshot=True)
         )
         self.assertEqual(calls, ['all', 'since 3', 'all', 'since 9'])
-        self.assertEqual(taken, [3, 9])
+        self.assertEqual(applied, [3, 9])
 
-    async def test_stale_read_is_not_taken(self) -> None:
-        """What is older than what we know is asked for again."""
+    async def test_stale_snapshot_is_read_again(self) -> None:
+        """A snapshot older than the version held must not be applied."""
         gone = HistoryGoneError('gone', step='read')
-        calls, taken, _ = await self._follow(
+        calls, applied, _ = await self._follow(
             _page(7, is_snapshot=True),
             gone,
             _page(4, is_snapshot=True),
             _page(8, is_snapshot=True),
         )
         self.assertEqual(calls, ['all', 'since 7', 'all', 'all', 'since 8'])
-        self.assertEqual(taken, [7, 8])
+        self.assertEqual(applied, [7, 8])
 
-    async def test_answer_that_cannot_be_taken_ends_nothing(self) -> None:
-        """A fault in taking one answer is told; the table is read again."""
+    async def test_exception_while_applying_does_not_end_watch(self) -> None:
+        """The exception must be logged and a snapshot be read."""
         source = ListedSource(
             _page(3, is_snapshot=True), _page(4), _page(5, is_snapshot=True)
         )
-        taken: list[int] = []
+        applied: list[int] = []
 
-        def take(page: Page) -> None:
+        def apply_page(page: Page) -> None:
             if page.version == 4:
                 raise KeyError('address')
-            taken.append(page.version)
+            applied.append(page.version)
 
-        watch = build_watch(source, apply=take)
+        watch = build_watch(source, apply=apply_page)
         with self.assertLogs('seampond.watches.watch', 'ERROR'):
             task = asyncio.create_task(watch.run())
             async with asyncio.timeout(5):
                 await source.is_over.wait()
         task.cancel()
         self.assertEqual(source.calls[:3], ['all', 'since 3', 'all'])
-        self.assertEqual(taken, [3, 5])
+        self.assertEqual(applied, [3, 5])
 
-    async def test_failure_is_counted_and_tried_again(self) -> None:
-        """A store that is down changes no belief."""
-        calls, taken, failures = await self._follow(
+    async def test_failed_call_is_counted_and_retried(self) -> None:
+        """The copy must be kept while the store is down."""
+        calls, applied, failures = await self._follow(
             _page(3, is_snapshot=True),
             PlatformError('is down', step='read'),
             _page(4),
         )
         self.assertEqual(calls, ['all', 'since 3', 'since 3', 'since 4'])
-        self.assertEqual(taken, [3, 4])
+        self.assertEqual(applied, [3, 4])
         self.assertEqual(failures, ['read'])
 
-    async def test_each_reason_of_a_spell_is_logged(self) -> None:
-        """Once each, with what had come of an answer; then its end."""
+    async def test_each_reason_of_failure_is_logged_once(self) -> None:
+        """Repeated failures must not flood the log."""
         cut = CutAnswerError('TimeoutError', step='read', peer='', received=7)
         down = PlatformError('is down', step='read')
         with self.assertLogs('seampond.watches.watch', 'WARNING') as logs:
             await self._follow(
                 _page(3, is_snapshot=True), down, down, cut, cut, _page(4)
             )
-        told = [
+        reported = [
             (line.getMessage(), line.__dict__.get('received'))
             for line in logs.records
         ]
         failed = 'store call failed'
         self.assertEqual(
-            told, [(failed, 0), (failed, 7), ('store answers again', None)]
+            reported, [(failed, 0), (failed, 7), ('store answers again', None)]
         )
 
-    async def test_answer_that_did_not_end_is_not_asked_for_again(self) -> None:
-        """All changes were too much for the call: the table is read whole."""
+    async def test_incomplete_answer_leads_to_snapshot(self) -> None:
+        """Changes too large for a call must not be requested again."""
         cut = CutAnswerError('TimeoutError', step='read', peer='', received=7)
-        calls, taken, _ = await self._follow(
+        calls, applied, _ = await self._follow(
             _page(3, is_snapshot=True),
             cut,
             _page(9, is_snapshot=True),
             _page(9),
         )
         self.assertEqual(calls, ['all', 'since 3', 'all', 'since 9', 'since 9'])
-        self.assertEqual(taken, [3, 9, 9])
+        self.assertEqual(applied, [3, 9, 9])
 
-    async def test_whole_read_that_is_stale_is_not_repeated(self) -> None:
-        """The feed may come to its end meanwhile."""
+    async def test_stale_snapshot_leads_back_to_feed(self) -> None:
+        """A stale snapshot must not be read again and again."""
         cut = CutAnswerError('TimeoutError', step='read', peer='', received=7)
-        calls, taken, _ = await self._follow(
+        calls, applied, _ = await self._follow(
             _page(7, is_snapshot=True),
             cut,
             _page(4, is_snapshot=True),
             _page(9),
         )
         self.assertEqual(calls, ['all', 'since 7', 'all', 'since 7', 'since 9'])
-        self.assertEqual(taken, [7, 9])
+        self.assertEqual(applied, [7, 9])
 
-    async def test_small_table_is_read_whole_after_a_long_spell(self) -> None:
-        """Where changes are known to be missing; a large one is not."""
+    async def test_snapshot_of_small_table_after_long_outage(self) -> None:
+        """The feed may have too many changes; a large table is followed."""
         for rows, call in ((1, 'all'), (101, 'since 3')):
             with self.subTest(rows=rows):
-                self.assertEqual(await self._ask_after_a_spell(rows), call)
+                self.assertEqual(await self._call_after_outage(rows), call)
 
-    async def test_small_table_is_followed_after_a_short_spell(self) -> None:
-        """There is little that the feed has to tell."""
-        call = await self._ask_after_a_spell(rows=1, spell_ms=1000)
+    async def test_changes_of_small_table_after_short_outage(self) -> None:
+        """A short outage must not lead to a snapshot."""
+        call = await self._call_after_outage(rows=1, outage_ms=1000)
         self.assertEqual(call, 'since 3')
 
     async def test_answer_to_an_earlier_call_is_refused(self) -> None:
-        """An answer that is older than its call proves nothing."""
-        time = StoreClock()
-        time.update(Page((), 1, 50_000, 1000, 1002, False))
+        """An answer older than its call must not serve as a proof."""
+        store_clock = StoreClock()
+        store_clock.update(Page((), 1, 50_000, 1000, 1002, False))
         with self.assertRaises(PlatformError):
-            time.update(Page((), 1, 51_000, 9000, 9002, False))
+            store_clock.update(Page((), 1, 51_000, 9000, 9002, False))
 
-    async def _ask_after_a_spell(self, rows: int, spell_ms: int = 3000) -> str:
-        """Hear of a change, reach the store later; give the last call."""
+    async def _call_after_outage(self, rows: int, outage_ms: int = 3000) -> str:
+        """Return the first call after an outage with a missing change."""
         keys = [str(number) for number in range(rows)]
         down = PlatformError('is down', step='read')
         source = ListedSource(_page(3, *keys, is_snapshot=True), _page(3), down)
-        clock = SkippingClock()
-        freshness = build_currency(clock)
+        clock = InstantClock()
+        freshness = build_freshness(clock)
         watch = build_watch(source, clock=clock, freshness=freshness)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
@@ -385,15 +385,15 @@
             while len(source.calls) < 3:
                 await asyncio.sleep(0)
             freshness.apply_proof(FreshnessProof(9, 1))
-            clock.advance(spell_ms)
+            clock.advance(outage_ms)
             await source.is_over.wait()
         return source.calls[3]
 
     async def _fail(self, proved_ms: int, **changes: Any) -> list[float]:
-        """Let many calls fail; give the pauses after them."""
+        """Return the pauses after several failed calls."""
         failures = [PlatformError('is down', step='read') for _ in range(9)]
         source = ListedSource(_page(3, is_snapshot=True), _page(3), *failures)
-        clock = NotedClock()
+        clock = RecordingClock()
         clock.__dict__['now'] = lambda: 10_000
         freshness = RecordingFreshness(
             clock, StoreClock(), lambda proved_ms: None
@@ -417,13 +417,13 @@
     async def _follow(
         self, *answers: Page | Exception
     ) -> tuple[list[str], list[int], list[str]]:
-        """Give the calls, the versions taken, and the failures counted."""
+        """Return calls, applied versions and counted failures."""
         source = ListedSource(*answers)
-        taken: list[int] = []
+        applied: list[int] = []
         failures: list[str] = []
         watch = build_watch(
             source,
-            apply=lambda page: taken.append(page.version),
+            apply=lambda page: applied.append(page.version),
             count_failure=failures.append,
         )
         task = asyncio.create_task(watch.run())
@@ -431,27 +431,27 @@
             await source.is_over.wait()
         task.cancel()
         self.waits = source.waits
-        return source.calls, taken, failures
+        return source.calls, applied, failures
 
 
 class ProbeTest(unittest.IsolatedAsyncioTestCase):
-    """Calls beside a feed that may be dead."""
+    """Calls besides a feed that may be dead."""
 
     async def asyncSetUp(self) -> None:
-        """Follow a table whose feed answers nothing more."""
+        """Start with a feed that stops answering."""
         self.feed = ListedSource(_page(3, is_snapshot=True), _page(3))
-        self.taken: list[int] = []
+        self.applied: list[int] = []
 
-    async def test_change_is_found_beside_a_dead_feed(self) -> None:
-        """A probe asks from what is held and its answer is taken."""
+    async def test_probe_finds_change_despite_dead_feed(self) -> None:
+        """A probe must read from the version held and apply the answer."""
         watch = await self._start(_page(6, 'a'))
         self.assertTrue(await watch.probe())
         self.assertEqual(self.probes.calls, ['since 3'])
         self.assertEqual(self.probes.waits, [0])
-        self.assertEqual(self.taken, [3, 3, 6])
+        self.assertEqual(self.applied, [3, 3, 6])
 
-    async def test_feed_is_opened_again_after_an_outage(self) -> None:
-        """A probe that failed and then none: the feed's call may hang."""
+    async def test_feed_is_reopened_after_an_outage(self) -> None:
+        """A hanging call must be cancelled once a probe succeeds again."""
         watch = await self._start(
             PlatformError('is down', step='read'), _page(4)
         )
@@ -462,8 +462,8 @@
             await self.feed.is_over.wait()
         self.assertEqual(self.feed.calls[-1], 'since 4')
 
-    async def test_probe_does_not_ask_again_for_what_cannot_come(self) -> None:
-        """Beside a dead feed: too much for a call, or no longer known."""
+    async def test_probe_reads_snapshot_where_changes_fail(self) -> None:
+        """Changes that are too large or no longer kept are not retried."""
         failures = (
             CutAnswerError('TimeoutError', step='read', peer='', received=7),
             HistoryGoneError('gone', step='read'),
@@ -477,10 +477,10 @@
                 self.assertEqual(self.probes.calls, ['since 3', 'all'])
                 self.assertEqual(watch.freshness.version, 9)
 
-    async def test_large_change_is_probed_for_by_a_whole_read(self) -> None:
-        """Others told of it without its rows: a feed may tell it many times.
+    async def test_probe_reads_snapshot_of_tiny_table(self) -> None:
+        """A large change must not be read in several versions by the feed.
 
-        A table of some rows is asked for its changes: few are missing.
+        A table with more rows is read by its changes.
         """
         for rows, call in ((1, 'all'), (5, 'since 3')):
             with self.subTest(rows=rows):
@@ -493,38 +493,38 @@
                 self.assertTrue(await watch.probe())
                 self.assertEqual(self.probes.calls, [call])
 
-    async def test_no_probe_while_the_feed_asks_again(self) -> None:
-        """A store that refuses calls is asked by the feed alone."""
+    async def test_no_probe_while_feed_retries(self) -> None:
+        """Probes must not add to the calls of a failing feed."""
         refused = PlatformError('busy', step='read')
         feed = ListedSource(_page(3, is_snapshot=True), refused)
         probes = ListedSource(_page(4))
-        clock = HeldClock()
+        clock = BlockedClock()
         watch = build_watch(feed, probes, clock=clock)
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
         async with asyncio.timeout(5):
-            await clock.__dict__['held'].wait()
+            await clock.__dict__['blocked'].wait()
         self.assertFalse(await watch.probe())
         self.assertEqual(probes.calls, [])
 
-    async def test_probe_waits_for_a_first_read(self) -> None:
-        """Nothing is asked before the table was read whole."""
+    async def test_no_probe_before_first_snapshot(self) -> None:
+        """Changes must not be requested before a snapshot was applied."""
         watch = build_watch(ListedSource())
         self.assertFalse(await watch.probe())
 
-    async def test_change_that_others_saw_is_asked_for(self) -> None:
-        """Long before a proof is too old."""
+    async def test_missing_change_is_probed_for(self) -> None:
+        """A known change must not wait until the last proof expires."""
         watch = await self._start(_page(9, 'a'))
-        self._keep(watch, 60_000)
+        self._start_probing(watch, 60_000)
         watch.freshness.apply_proof(FreshnessProof(latest_change=8, store_ms=0))
         async with asyncio.timeout(5):
-            while self.taken[-1] != 9:
+            while self.applied[-1] != 9:
                 await asyncio.sleep(0.01)
 
-    async def test_proof_after_a_whole_read_hides_no_removal(self) -> None:
-        """A row that went is not in it; who lacks the change has to ask."""
+    async def test_proof_after_snapshot_covers_deletion(self) -> None:
+        """A deletion that a snapshot cannot show must still be missed."""
         clock = ManualClock(1000)
-        reader, late = build_currency(clock), build_currency(clock)
+        reader, late = build_freshness(clock), build_freshness(clock)
         row = Row('a', b'', 6)
         hold(late, Page((row,), 6, 1000, 1000, 1000, is_snapshot=False))
         hold(reader, Page((row,), 9, 1000, 1000, 1000, is_snapshot=True))
@@ -535,10 +535,10 @@
         late.apply_proof(reader.proof)
         self.assertTrue(late.is_behind)
 
-    async def test_proof_of_others_saves_a_call(self) -> None:
-        """Nothing is asked while somebody else proves that we are current."""
+    async def test_proof_of_others_delays_probe(self) -> None:
+        """No probe may be made while other processes give proofs."""
         clock = ManualClock(1000)
-        freshness = build_currency(clock)
+        freshness = build_freshness(clock)
         hold(freshness, Page((), 5, 1000, 1000, 1000, False))
         clock.advance(1400)
         freshness.apply_proof(FreshnessProof(latest_change=5, store_ms=2300))
@@ -549,7 +549,7 @@
         watch = build_watch(
             self.feed,
             self.probes,
-            apply=lambda page: self.taken.append(page.version),
+            apply=lambda page: self.applied.append(page.version),
         )
         task = asyncio.create_task(watch.run())
         self.addCleanup(task.cancel)
@@ -557,7 +557,7 @@
             await self.feed.is_over.wait()
         return watch
 
-    def _keep(self, watch: Watch, max_age_ms: int) -> None:
+    def _start_probing(self, watch: Watch, max_age_ms: int) -> None:
         task = asyncio.create_task(
             probe_when_stale(watch, max_age_ms, int, watch.clock)
         )
@@ -565,24 +565,24 @@
 
 
 class TableFreshnessTest(unittest.TestCase):
-    """What proves that a belief is current, and what does not."""
+    """What proves a copy to be complete and what does not."""
 
     def setUp(self) -> None:
-        """Hold a table up to version 5, proved at 1000."""
+        """Hold version 5, proved at 1000 ms."""
         self.clock = ManualClock(1000)
-        self.freshness = build_currency(self.clock)
+        self.freshness = build_freshness(self.clock)
         hold(self.freshness, Page((), 5, 1000, 1000, 1000, False))
 
-    def test_proof_of_a_change_that_we_lack_is_none(self) -> None:
-        """Somebody has seen more: we may be wrong since then."""
+    def test_proof_of_missing_change_proves_nothing(self) -> None:
+        """A copy that lacks a change must not count as complete."""
         self.freshness.apply_proof(
             FreshnessProof(latest_change=6, store_ms=1900)
         )
         self.assertEqual(self.freshness.proved_ms, 1000)
         self.assertEqual(self.freshness.next_probe_ms(60_000, 400), 1000 + 400)
 
-    def test_change_that_has_come_is_missing_no_more(self) -> None:
-        """Our own feed was only a little late."""
+    def test_received_change_is_not_missing(self) -> None:
+        """A feed that was a little late must not lead to a probe."""
         self.freshness.apply_proof(
             FreshnessProof(latest_change=6, store_ms=1900)
         )
@@ -594,17 +594,13 @@
         )
         self.assertEqual(self.freshness.proof, FreshnessProof(6, 2000))
 
-    def test_whole_read_proves_nothing(self) -> None:
-        """It may be some seconds behind."""
+    def test_snapshot_proves_nothing(self) -> None:
+        """A snapshot may be some seconds old."""
         hold(self.freshness, Page((), 9, 1900, 1900, 1900, True))
         self.assertEqual(self.freshness.proved_ms, 1000)
 
-    def test_early_proof_counts_once_its_change_has_come(self) -> None:
-        """What is written again and again is never held as it was told.
-
-        Each proof named a later version than the one that had just come, so
-        nothing proved what was held while large versions kept coming.
-        """
+    def test_pending_proof_counts_once_its_change_is_held(self) -> None:
+        """Freshness must be proved while each proof names a later version."""
         self.freshness.apply_proof(
             FreshnessProof(latest_change=6, store_ms=1500)
         )
@@ -619,20 +615,20 @@
         self.assertEqual(self.freshness.proved_ms, 1500)
         self.assertTrue(self.freshness.is_behind)
 
-    def test_whole_read_lets_others_know_of_a_change(self) -> None:
-        """Who lacks it has to ask, though no later moment is proved."""
+    def test_snapshot_raises_latest_change_of_proof(self) -> None:
+        """Other processes must learn of a change that a snapshot has shown."""
         row = Row('a', b'', 9)
         hold(
             self.freshness, Page((row,), 9, 1900, 1900, 1900, is_snapshot=True)
         )
         self.assertEqual(self.freshness.proof, FreshnessProof(9, 1000))
-        other = build_currency(self.clock)
+        other = build_freshness(self.clock)
         hold(other, Page((), 8, 1000, 1000, 1000, is_snapshot=False))
         other.apply_proof(FreshnessProof(9, 1000))
         self.assertTrue(other.is_behind)
 
-    def test_overtaken_proof_changes_nothing(self) -> None:
-        """Datagrams may overtake one another."""
+    def test_reordered_proof_is_ignored(self) -> None:
+        """An older proof must not lower the time that was proved."""
         self.freshness.apply_proof(
             FreshnessProof(latest_change=5, store_ms=1800)
         )
