--- a/seampond/forwarding/admission.py
+++ b/seampond/forwarding/admission.py
@@ -317,7 +317,7 @@
             return
         units = 1.0
         if tenant.counts_tokens:
-            units = float(job.prompt.total or tenant.units_per_request)
+            units = float(job.prompt.total or tenant.default_units)
         # Requests that state no tokens are small and need no low priority.
         rank = job.route.priority if job.prompt.total else 0
         wait_ms = self._charge(
--- a/seampond/forwarding/connection.py
+++ b/seampond/forwarding/connection.py
@@ -92,14 +92,14 @@
             )
 
     def send(
-        self, request_id: bytes, packet: bytes, *, has_body: bool = True
+        self, request_id: bytes, encoded: bytes, *, has_body: bool = True
     ) -> None:
         """Send a request; `has_body` says if the answer may have a body."""
         assert self._transport is not None
         self._reset()
         self._request_id = request_id
         self._has_body = has_body
-        self._transport.write(packet)
+        self._transport.write(encoded)
 
     async def read_head(self) -> ResponseHead:
         """Wait for the head of the answer.
@@ -129,12 +129,12 @@
                 return None
             self._raise_if_failed('body')
             await self._wait_for_data()
-        chunks = b''.join(self._chunks)
+        chunk = b''.join(self._chunks)
         self._chunks.clear()
         if self._buffered_bytes > _HIGH_WATER_BYTES and self._transport:
             self._transport.resume_reading()
         self._buffered_bytes = 0
-        return chunks
+        return chunk
 
     async def read_body(
         self, max_bytes: int, idle_timeout_ms: int | None = None
@@ -187,12 +187,12 @@
 
         """
         assert self._transport is not None
-        is_sound = self._is_connected and not self._is_broken
+        is_intact = self._is_connected and not self._is_broken
         # An early answer may leave a part of the request unsent.
         is_sent = self._transport.get_write_buffer_size() == 0
         is_closing = self._head.get(b'connection').lower() == b'close'
         is_reusable = (
-            self._is_complete and is_sound and is_sent and not is_closing
+            self._is_complete and is_intact and is_sent and not is_closing
         )
         if not is_reusable or keep_alive_ms is None or keep_alive_ms <= 0:
             self.close()
--- a/seampond/forwarding/models.py
+++ b/seampond/forwarding/models.py
@@ -75,10 +75,10 @@
         Units a second, 0 for no limit.
     burst : float
         Capacity of the tenant's token bucket in units.
-    units_per_request : int
-        Units of a request whose tokens are not known or not counted.
+    default_units : int
+        Units of a request of unknown token count, if tokens are counted.
     counts_tokens : bool
-        Whether units are tokens.
+        Whether a unit is a token; otherwise it is a request.
 
     """
 
@@ -86,7 +86,7 @@
     priority: int | None = None
     rate: float = 0
     burst: float = 0
-    units_per_request: int = 1
+    default_units: int = 1
     counts_tokens: bool = False
 
 
--- a/seampond/forwarding/request_encoding.py
+++ b/seampond/forwarding/request_encoding.py
@@ -3,7 +3,7 @@
 from seampond.forwarding.job import Job
 from seampond.forwarding.models import HeaderNames
 
-_HOP_HEADERS = frozenset(
+_NOT_FORWARDED = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -35,7 +35,7 @@
         Name of the header in lower case.
 
     """
-    if name in _HOP_HEADERS:
+    if name in _NOT_FORWARDED:
         return False
     return name in names.caller_settable or not name.startswith(names.reserved)
 
@@ -51,7 +51,7 @@
     deadline header holds the remaining time.
     """
     replaced = {names.last_event} if job.last_event else set()
-    left_ms = max(1, job.max_wait_ms - (now_ms - job.arrived_ms))
+    remaining_ms = max(1, job.max_wait_ms - (now_ms - job.arrived_ms))
     lines = [b'%b %b HTTP/1.1' % (job.method, job.target)]
     lines.extend(
         b'%b: %b' % (name, text)
@@ -59,7 +59,7 @@
         if is_forwarded(name, names) and name not in replaced
     )
     lines.append(b'%b: %b' % (names.expect_instance, instance.encode()))
-    lines.append(b'%b: %d' % (names.deadline, left_ms))
+    lines.append(b'%b: %d' % (names.deadline, remaining_ms))
     if job.last_event:
         lines.append(b'%b: %b' % (names.last_event, job.last_event))
     if job.tenant is not None:
--- a/seampond/platform/configuration.py
+++ b/seampond/platform/configuration.py
@@ -109,7 +109,7 @@
         priority=tenant.priority,
         rate=tenant.rate_per_s,
         burst=tenant.burst,
-        units_per_request=tenant.plain_tokens,
+        default_units=tenant.plain_tokens,
         counts_tokens=tenant.unit == names.TOKENS_UNIT,
     )
 
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -84,7 +84,7 @@
         self.assertTrue(first.may_repeat)
         tenant = configuration.find_tenant('k2')
         assert tenant is not None
-        self.assertEqual((tenant.rate, tenant.units_per_request), (1000, 200))
+        self.assertEqual((tenant.rate, tenant.default_units), (1000, 200))
         self.assertIsNone(configuration.find_tenant('k3'))
         self.assertTrue(configuration.pools['s1'].is_engine)
         self.assertEqual(configuration.limits.body_bytes, 6)
