--- a/seampond/claims/__init__.py
+++ b/seampond/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims: work that may not be repeated runs at most once."""
+"""Claims, which let a request that must not be repeated run at most once."""
 
 from seampond.claims.claim import Claim as Claim
 from seampond.claims.claim import ClaimRefusedError as ClaimRefusedError
--- a/seampond/claims/answers.py
+++ b/seampond/claims/answers.py
@@ -1,4 +1,4 @@
-"""The answers of work that may not be repeated, kept for retries."""
+"""Stored answers to requests with an idempotency key, for their retries."""
 
 import base64
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """A whole answer and the token of the claim it belongs to."""
+    """Complete answer and the token of the claim it belongs to."""
 
     token: str
     request_id: str
@@ -24,7 +24,7 @@
 
     @property
     def replay_headers(self) -> tuple[Header, ...]:
-        """The headers, with the id of the request that ran."""
+        """Headers of a replay, with the id of the original request."""
         return *self.headers, Header(REPLAY_HEADER, self.request_id)
 
 
@@ -35,7 +35,7 @@
 async def keep_answer(
     objects: Objects, claim_key: str, answer: KeptAnswer
 ) -> bool:
-    """Keep `answer`; give whether it was kept."""
+    """Store `answer`; return True on success."""
     content = {
         'token': answer.token,
         'request': answer.request_id,
@@ -64,7 +64,7 @@
 async def load_answer(
     objects: Objects, claim_key: str, token: str
 ) -> KeptAnswer | None:
-    """Give the answer kept under the claim with `token`, or None."""
+    """Return the answer stored for the claim with `token`, or None."""
     try:
         content = await objects.get(_object_key(claim_key))
     except PlatformError:
--- a/seampond/claims/claim.py
+++ b/seampond/claims/claim.py
@@ -1,4 +1,4 @@
-"""A claim is a row inserted just before the run, with a token of our own."""
+"""Claims: rows inserted before a run, each with a unique token."""
 
 import secrets
 from dataclasses import dataclass
@@ -21,7 +21,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What we wrote: the right to run this work once."""
+    """Right to run one request, as written to the table.
+
+    Parameters
+    ----------
+    key : str
+        Key of the request in the table.
+    token : str
+        Unique token of this claim.
+    digest : str
+        Digest of the request's body.
+
+    """
 
     key: str
     token: str
@@ -29,15 +40,15 @@
 
 
 class ClaimRefusedError(SeampondError):
-    """We hold no claim and will not run.
+    """The claim was not obtained; the request is not run.
 
     Parameters
     ----------
     is_taken : bool
-        Whether another run holds it; else the store did not answer in time
-        and the token is abandoned.
+        Whether another run holds the claim; otherwise the store did not
+        answer in time.
     held : Row | None
-        The row of the run that holds it.
+        Row of the run that holds the claim.
 
     """
 
@@ -49,13 +60,13 @@
         key: str,
         held: Row | None = None,
     ) -> None:
-        """Say why there is no claim."""
+        """Set the reason and the row that holds the claim."""
         super().__init__(message, step='claim', peer=key)
         self.is_taken = is_taken
         self.held = held
 
     def is_done_for(self, digest: str) -> bool:
-        """Whether the same request has been run to its end."""
+        """Return True if the same request has been completed."""
         if self.held is None:
             return False
         row = self.held.content
@@ -63,14 +74,14 @@
 
 
 class Claims:
-    """Makes claims for one agent and remembers the tokens it gave up.
+    """Claims of one agent, and the tokens it has abandoned.
 
     Explanation
     -----------
-    A write whose answer is lost may still land at any later time.  So the
-    same token is sent again until an answer tells; where none does in
-    time, the token is abandoned: this agent will never run on it, which
-    lets the same agent take the row over for a later try.
+    A write whose answer is lost may still take effect later.  So the same
+    token is written again until an answer comes.  If none comes in time, the
+    token is abandoned: the agent never runs on it, but may take over its row
+    for a later attempt.
 
     Parameters
     ----------
@@ -80,7 +91,7 @@
     """
 
     def __init__(self, tables: Tables, clock: Clock, owner: str) -> None:
-        """Start with nothing abandoned."""
+        """Start without abandoned tokens."""
         self._tables = tables
         self._clock = clock
         self._owner = owner
@@ -89,47 +100,47 @@
     async def make(
         self, key: str, request_id: str, until_ms: int, digest: str = ''
     ) -> Claim:
-        """Insert the claim row for `key`, or raise.
+        """Insert the claim's row for `key`.
 
         Parameters
         ----------
         key : str
-            Names the work.
+            Key of the request.
         request_id : str
-            Kept in the row, for operators.
+            Stored in the row for operators.
         until_ms : int
-            When to stop trying, in clock time.
+            Clock time at which to give up.
         digest : str
-            Of the request's body; a retry must have the same.
+            Digest of the request's body, which a retry must match.
 
         Raises
         ------
         ClaimRefusedError
-            If there is no claim; nothing will run on this call.
+            If the claim was not obtained.
 
         """
         claim = Claim(key, secrets.token_hex(_TOKEN_BYTES), digest)
         try:
             await self._insert(claim, request_id, until_ms)
         except BaseException:
-            # Whatever ended it, a cancellation too: it will not run.
+            # On cancellation too, since the request will not run.
             self.abandon(claim)
             raise
         return claim
 
     def abandon(self, claim: Claim) -> None:
-        """Give up a claim that we made; we will never run on it."""
+        """Abandon a claim on which this agent will never run."""
         self._abandoned.add(claim.token)
 
     async def finish(self, claim: Claim, request_id: str) -> None:
-        """Mark the work as done; the row stays as a bar to a second run."""
+        """Mark the claim as done; its row still prevents a second run."""
         content = self._content(claim, request_id, DONE)
         try:
             row = await self._tables.read(TABLE, claim.key)
             if row and row.content['token'] == claim.token:
                 await self._write(claim, content, row.version)
         except PlatformError:
-            # The row still bars a second run; only its state is stale.
+            # The row still prevents a second run; only its state is stale.
             return
 
     async def _insert(
@@ -182,7 +193,7 @@
             return None
 
     def _takeover_version(self, key: str, row: Row | None) -> int:
-        """Give the version at which the next try may write."""
+        """Return the version at which the next attempt may write."""
         if row is None:
             return 0
         if row.content['token'] in self._abandoned:
--- a/seampond/claims/tests/test_answers.py
+++ b/seampond/claims/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Kept answers: a retry by the same key gets the first run's answer."""
+"""Tests of stored answers, which a retry with the same key receives."""
 
 import unittest
 
@@ -36,7 +36,7 @@
             running.engine.runs.total() for running in self.fleet.engines
         )
 
-    async def test_a_retry_through_another_entry_gets_the_answer(self) -> None:
+    async def test_retry_through_another_entry_gets_the_answer(self) -> None:
         first = await self.send(0)
         await self.wait_until_kept()
         for agent, _ in enumerate(self.fleet.agents):
@@ -47,14 +47,14 @@
         self.assertEqual(second.original_id, first.request_id)
         self.assertEqual(self.runs(), 1)
 
-    async def test_another_body_under_the_same_key_is_refused(self) -> None:
+    async def test_different_body_with_same_key_is_refused(self) -> None:
         await self.send(0)
         await self.wait_until_kept()
         reply = await self.send(1, OTHER)
         self.assertEqual(reply.error['reason'], 'claim-taken')
         self.assertEqual(self.runs(), 1)
 
-    async def test_without_the_kept_answer_it_may_have_run(self) -> None:
+    async def test_refusal_without_stored_answer_may_have_run(self) -> None:
         await self.send(0)
         await self.wait_until_kept()
         self.fleet.platform.platform.objects.clear()
@@ -62,7 +62,7 @@
         self.assertEqual(reply.error['reason'], 'claim-taken')
         self.assertEqual(reply.error['run'], 'maybe')
 
-    async def test_a_store_that_fails_costs_only_the_kept_answer(self) -> None:
+    async def test_store_outage_prevents_second_run(self) -> None:
         first = await self.send(0)
         self.assertTrue(first.is_ok)
         await self.wait_until_kept()
--- a/seampond/claims/tests/test_claims.py
+++ b/seampond/claims/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one run for a key, whatever the store does."""
+"""Tests of claims: at most one run per key under faults of the store."""
 
 import unittest
 from collections.abc import Sequence
@@ -14,14 +14,14 @@
 
 
 class SteppingClock(ManualClock):
-    """A clock whose sleeps pass at once."""
+    """Clock on which a sleep advances the time at once."""
 
     async def sleep(self, duration_ms: float) -> None:
         self.advance(round(duration_ms))
 
 
 def losing_answers(memory: MemoryTables, count: int) -> Tables:
-    """The first `count` writes take effect and look failed."""
+    """Lose the answers of the first `count` writes."""
     port = memory.as_port()
     left = [count]
 
@@ -37,7 +37,7 @@
 
 
 def down(memory: MemoryTables) -> Tables:
-    """Nothing answers."""
+    """Fail all writes."""
 
     async def transact(
         checks: Sequence[Check], writes: Sequence[Write]
@@ -57,26 +57,26 @@
     ) -> Claims:
         return Claims(tables or self.memory.as_port(), self.clock, owner)
 
-    async def test_the_second_claim_is_refused_as_taken(self) -> None:
+    async def test_second_claim_is_refused_as_taken(self) -> None:
         await self.claims().make(KEY, 'r1', 1000)
         with self.assertRaises(ClaimRefusedError) as caught:
             await self.claims(owner='b/1').make(KEY, 'r2', 1000)
         self.assertTrue(caught.exception.is_taken)
 
-    async def test_a_lost_answer_is_read_back(self) -> None:
+    async def test_lost_answer_is_read_back(self) -> None:
         claims = self.claims(losing_answers(self.memory, 1))
         claim = await claims.make(KEY, 'r1', 1000)
         row = self.memory.read('claims', KEY)
         assert row is not None
         self.assertEqual(row.content['token'], claim.token)
 
-    async def test_a_store_that_is_down_ends_the_claim_in_time(self) -> None:
+    async def test_claim_times_out_while_store_is_down(self) -> None:
         with self.assertRaises(ClaimRefusedError) as caught:
             await self.claims(down(self.memory)).make(KEY, 'r1', 1000)
         self.assertFalse(caught.exception.is_taken)
         self.assertLess(self.clock.now(), 1200)
 
-    async def test_an_abandoned_token_is_taken_over_by_its_agent(self) -> None:
+    async def test_abandoned_token_is_taken_over_by_same_agent(self) -> None:
         claims = self.claims()
         claims.abandon(await claims.make(KEY, 'r1', 1000))
         second = await claims.make(KEY, 'r2', 2000)
@@ -84,13 +84,13 @@
         assert row is not None
         self.assertEqual(row.content['token'], second.token)
 
-    async def test_an_abandoned_token_bars_other_agents(self) -> None:
+    async def test_abandoned_token_blocks_other_agents(self) -> None:
         claims = self.claims()
         claims.abandon(await claims.make(KEY, 'r1', 1000))
         with self.assertRaises(ClaimRefusedError):
             await self.claims(owner='b/1').make(KEY, 'r2', 2000)
 
-    async def test_a_conflict_without_a_row_does_not_spin(self) -> None:
+    async def test_conflict_without_row_does_not_loop(self) -> None:
         port = self.memory.as_port()
         reads = []
 
--- a/seampond/limits/__init__.py
+++ b/seampond/limits/__init__.py
@@ -1,3 +1,3 @@
-"""What each workspace pays for, held at every entry."""
+"""Rate limits of workspaces, enforced at every entry."""
 
 from seampond.limits.buckets import Limiter as Limiter
--- a/seampond/limits/buckets.py
+++ b/seampond/limits/buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets; each entry holds its share of the paid rate."""
+"""Token buckets that enforce each entry's share of the paid rates."""
 
 from dataclasses import dataclass
 
@@ -11,38 +11,37 @@
 
 @dataclass(slots=True)
 class Bucket:
-    """One bucket; `level` may go below zero by one large request."""
+    """Token bucket whose level may go below zero by one request."""
 
     level: float
     filled_at_ms: int
 
     def fill(self, rate_per_s: float, now_ms: int) -> None:
-        """Add what has flowed in since, up to the burst."""
+        """Refill up to the burst for the time since the last refill."""
         burst = max(_MIN_BURST, rate_per_s * _BURST_SECONDS)
-        flowed = rate_per_s * (now_ms - self.filled_at_ms) / MS_PER_SECOND
-        self.level = min(burst, self.level + flowed)
+        refilled = rate_per_s * (now_ms - self.filled_at_ms) / MS_PER_SECOND
+        self.level = min(burst, self.level + refilled)
         self.filled_at_ms = now_ms
 
     def wait_ms(self, rate_per_s: float) -> int:
-        """Give the time until the level is above zero."""
+        """Return the time until the level is above zero."""
         if self.level > 0:
             return 0
         return round(-self.level / rate_per_s * MS_PER_SECOND) + 1
 
 
 class Limiter:
-    """The buckets of one entry.
+    """Rate limiter of one entry.
 
     Explanation
     -----------
-    With n live entries behind the balancer, each holds a bucket of an nth
-    of the paid rate: no store is on the path.  A request is let in while
-    the level is above zero and may take it below, so that one prompt
-    longer than the burst still gets through now and then.
+    Each of n live entries enforces an nth of the paid rate, which needs no
+    shared store.  A request is admitted while the level is above zero and may
+    take it below, so that prompts longer than the burst are admitted too.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no buckets."""
+        """Start without any buckets."""
         self._clock = clock
         self._buckets: dict[tuple[str, str, str], Bucket] = {}
 
@@ -55,12 +54,12 @@
         tokens: int,
         entries: int,
     ) -> int:
-        """Let a request in, or give the wait in milliseconds.
+        """Admit a request, or return the wait in milliseconds.
 
         Returns
         -------
         int
-            0 if the request is within the rate and has been counted.
+            0 if the request was admitted and charged.
 
         """
         wanted = (
@@ -71,7 +70,9 @@
         for unit, cost, rate in wanted:
             bucket = self._bucket((workspace, template, unit), rate)
             filled.append((bucket, cost, rate))
-        wait_ms = max(held.wait_ms(held_rate) for held, _, held_rate in filled)
+        wait_ms = max(
+            candidate.wait_ms(unit_rate) for candidate, _, unit_rate in filled
+        )
         if wait_ms:
             return wait_ms
         for bucket, cost, _ in filled:
--- a/seampond/limits/tests/test_buckets.py
+++ b/seampond/limits/tests/test_buckets.py
@@ -1,4 +1,4 @@
-"""Limits: a paid rate, shared by entries, with a bounded burst."""
+"""Tests of rate limits shared by entries, with a bounded burst."""
 
 import unittest
 
@@ -33,7 +33,7 @@
         self.admitted_in(10, 1)
         self.assertAlmostEqual(self.admitted_in(60, 1), 600, delta=6)
 
-    def test_each_of_three_entries_gives_a_third(self) -> None:
+    def test_each_of_three_entries_grants_a_third(self) -> None:
         self.admitted_in(10, 3)
         self.assertAlmostEqual(self.admitted_in(60, 3), 200, delta=4)
 
@@ -41,13 +41,13 @@
         self.admitted_in(10, 3)
         self.assertAlmostEqual(self.admitted_in(60, 2), 300, delta=4)
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_wait_time_of_refusal_suffices(self) -> None:
         waits = [self.admit() for _ in range(3 * RATE)]
         wait_ms = max(waits)
         self.assertGreater(wait_ms, 0)
         self.clock.advance(wait_ms)
         self.assertEqual(self.admit(), 0)
 
-    def test_a_prompt_beyond_the_burst_gets_through_and_is_paid(self) -> None:
+    def test_prompt_beyond_burst_is_admitted_and_charged(self) -> None:
         self.assertEqual(self.admit(tokens=50_000), 0)
         self.assertGreater(self.admit(tokens=1), 40_000)
--- a/seampond/membership/__init__.py
+++ b/seampond/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Which agents an entry keeps links to, from the platform's VM list."""
+"""Selection of the agents an entry keeps links to, from the VM list."""
 
 from seampond.membership.follow import follow_members as follow_members
--- a/seampond/membership/follow.py
+++ b/seampond/membership/follow.py
@@ -1,4 +1,4 @@
-"""Follow the VM list and keep one task for each agent in our subset."""
+"""Follow the VM list and run one task per agent of the entry's subset."""
 
 import asyncio
 import logging
@@ -26,21 +26,32 @@
 
 @dataclass
 class Members:
-    """What the last good VM list said about the entries."""
+    """Number of live entries in the last VM list that was read."""
 
     live_entries: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetPlan:
-    """Who chooses, how many links for each pool, how often to look."""
+    """How an entry chooses its subset of agents.
+
+    Parameters
+    ----------
+    owner : str
+        Name of the entry, which determines its subset.
+    links_per_pool : int
+        Number of agents to choose in each pool.
+    poll_ms : int
+        Interval between two reads of the VM list.
+
+    """
 
     owner: str
     links_per_pool: int
     poll_ms: int
 
 
-def _wanted(vms: Iterable[Vm], plan: SubsetPlan) -> dict[str, Vm]:
+def _choose_vms(vms: Iterable[Vm], plan: SubsetPlan) -> dict[str, Vm]:
     by_pool: dict[str, dict[str, Vm]] = {}
     for vm in vms:
         if vm.role == BACKEND_ROLE:
@@ -54,23 +65,23 @@
 
 @dataclass
 class PeerTasks:
-    """The running tasks, one for each peer."""
+    """Running tasks, one per peer."""
 
     keeping: Keeping
     tasks: dict[str, asyncio.Task[None]]
 
     def update(self, wanted: dict[str, Vm]) -> None:
-        """Start and stop tasks so that they match `wanted`."""
+        """Start and stop tasks to match `wanted`."""
         peers = self.keeping.dispatcher.peers
         for name in set(self.tasks) - set(wanted):
             self._retire(peers[name])
         for name, vm in wanted.items():
-            known = peers.get(name)
-            if known and known.vm.address != vm.address:
-                self._stop(known)
+            peer = peers.get(name)
+            if peer and peer.vm.address != vm.address:
+                self._stop(peer)
             if name not in self.tasks:
                 self._start(vm)
-            self._note_leaving(peers[name], vm)
+            self._record_leaving(peers[name], vm)
 
     async def stop_all(self) -> None:
         """Stop every task and wait for its end."""
@@ -84,9 +95,9 @@
         )
 
     def _retire(self, peer: Peer) -> None:
-        # The list may run ahead of a planned stop: what runs there finishes.
+        # A VM may be unlisted before its planned stop: requests there finish.
         if peer.granted and peer.link:
-            self._note_leaving(peer, replace(peer.vm, state=LEAVING))
+            self._record_leaving(peer, replace(peer.vm, state=LEAVING))
             return
         self._stop(peer)
 
@@ -95,7 +106,7 @@
         self.keeping.dispatcher.remove(peer)
         _logger.info('agent removed', extra={'agent': peer.name})
 
-    def _note_leaving(self, peer: Peer, vm: Vm) -> None:
+    def _record_leaving(self, peer: Peer, vm: Vm) -> None:
         if vm.state == LEAVING and peer.state is PeerState.ready:
             peer.fire('said_leaving')
 
@@ -106,9 +117,9 @@
     try:
         vms = await list_vms()
     except PlatformError as error:
-        _logger.debug('no VM list', extra={'error': str(error)})
+        _logger.debug('VM list not read', extra={'error': str(error)})
         return
-    tasks.update(_wanted(vms, plan))
+    tasks.update(_choose_vms(vms, plan))
     entries = sum(vm.role == ENTRY_ROLE and vm.state == LIVE for vm in vms)
     members.live_entries = max(1, entries)
 
@@ -120,13 +131,13 @@
 
     Explanation
     -----------
-    While the list cannot be read, the last good one stays in force: links
-    themselves tell which agents answer.
+    If the list cannot be read, the previous one stays in force; the links
+    themselves show which agents respond.
     """
     try:
         while True:
             await _update(list_vms, tasks, members, plan)
-            spread = random.uniform(1 - _JITTER, 1 + _JITTER)
-            await tasks.keeping.clock.sleep(plan.poll_ms * spread)
+            jitter = random.uniform(1 - _JITTER, 1 + _JITTER)
+            await tasks.keeping.clock.sleep(plan.poll_ms * jitter)
     finally:
         await tasks.stop_all()
