--- a/seampond/quarantine/tests/test_suspects.py
+++ b/seampond/quarantine/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""The evidence against requests, and how gateways come to the same."""
+"""Evidence against requests, and its merging between gateways."""
 
 import itertools
 import unittest
@@ -14,35 +14,35 @@
 
 
 class SuspectsTest(unittest.TestCase):
-    """What counts against a request."""
+    """Crashes that count against a request."""
 
     def setUp(self) -> None:
-        """Know nothing."""
+        """Start without suspects."""
         self.clock = ManualClock(100_000)
         self.suspects = Suspects(self.clock)
 
-    def test_one_server_counts_once(self) -> None:
-        """A server that resets all it runs speaks against itself."""
+    def test_server_counts_once(self) -> None:
+        """Guards against a faulty server that quarantines its requests."""
         for _ in range(20):
             self.suspects.record_crash(_REQUEST, 1, self.clock.now())
             self.clock.advance(50)
         self.assertEqual(self.suspects.count_crashes(_REQUEST), 1)
 
-    def test_a_good_answer_clears(self) -> None:
-        """And word of an end before it comes too late to count."""
+    def test_success_clears_request(self) -> None:
+        """Guards against crashes before the success, reported late."""
         self.suspects.record_crash(_REQUEST, 1, 0)
-        told = self.suspects.list_crash_reports()
+        reports = self.suspects.list_crash_reports()
         self.clock.advance(1000)
         self.assertTrue(self.suspects.record_success(_REQUEST))
         late = [
             CrashReport(crash.request, crash.incarnation, crash.run_age_ms, 900)
-            for crash in told
+            for crash in reports
         ]
         self.suspects.apply_reports(late, {})
         self.assertEqual(self.suspects.count_crashes(_REQUEST), 0)
 
-    def test_a_hall_that_ends_at_once_is_one_strike(self) -> None:
-        """For a request that had good answers; all its runs began before."""
+    def test_simultaneous_crashes_count_once(self) -> None:
+        """Guards against quarantine of a good request by a power failure."""
         self.suspects.record_success(_REQUEST)
         self.clock.advance(500)
         for incarnation in range(4):
@@ -55,16 +55,16 @@
         self.suspects.record_crash(_REQUEST, 9, self.clock.now() - 30)
         self.assertEqual(self.suspects.count_crashes(_REQUEST), 2)
 
-    def test_ends_at_once_count_where_nothing_speaks_for_it(self) -> None:
-        """A request that never had an answer."""
+    def test_simultaneous_crashes_count_without_success(self) -> None:
+        """Guards against a request without success that counts too little."""
         for incarnation in range(3):
             self.suspects.record_crash(
                 _REQUEST, incarnation, self.clock.now() - 30
             )
         self.assertEqual(self.suspects.count_crashes(_REQUEST), 3)
 
-    def test_memory_is_bounded(self) -> None:
-        """Requests that are never the same; the gravest are kept."""
+    def test_number_of_suspects_is_bounded(self) -> None:
+        """Guards against unbounded memory, and loss of quarantined requests."""
         for incarnation in range(QUARANTINE_CRASHES):
             self.suspects.record_crash(_REQUEST, incarnation, self.clock.now())
         for request in range(100, 5100):
@@ -76,8 +76,8 @@
         crash_count = self.suspects.count_crashes(_REQUEST)
         self.assertEqual(crash_count, QUARANTINE_CRASHES)
 
-    def test_old_evidence_is_forgotten(self) -> None:
-        """One end after ten minutes, a quarantine after a day."""
+    def test_old_evidence_expires(self) -> None:
+        """Guards against evidence that is kept too long or too briefly."""
         self.suspects.record_crash(1, 1, self.clock.now())
         for incarnation in range(QUARANTINE_CRASHES):
             self.suspects.record_crash(2, incarnation, self.clock.now())
@@ -90,18 +90,18 @@
         self.assertEqual(len(self.suspects), 0)
 
 
-class ToldSuspectsTest(unittest.TestCase):
-    """Words of several gateways, in any order, lost or doubled."""
+class MergeTest(unittest.TestCase):
+    """Reports of several gateways, in any order and repeated."""
 
     @seed(21)
     @settings(max_examples=300, deadline=None)
     @given(st.data())
-    def test_order_and_repeats_do_not_matter(
-        self, drawn: st.DataObject
+    def test_order_and_repetition_are_irrelevant(
+        self, draws: st.DataObject
     ) -> None:
-        """Two that hear the same words come to the same strikes."""
+        """Guards against gateways that count crashes differently."""
         clock = ManualClock(100_000)
-        crashes = drawn.draw(
+        crashes = draws.draw(
             st.lists(
                 st.builds(
                     CrashReport,
@@ -113,17 +113,17 @@
                 max_size=6,
             )
         )
-        words = [[crash] for crash in crashes]
-        order = drawn.draw(st.permutations(words))
+        batches = [[crash] for crash in crashes]
+        order = draws.draw(st.permutations(batches))
         first, second = Suspects(clock), Suspects(clock)
-        for word in words:
-            first.apply_reports(word, {})
-        for word in itertools.chain(order, words):
-            second.apply_reports(word, {})
+        for batch in batches:
+            first.apply_reports(batch, {})
+        for batch in itertools.chain(order, batches):
+            second.apply_reports(batch, {})
         self.assertEqual(
             first.count_crashes(_REQUEST), second.count_crashes(_REQUEST)
         )
-        for known in (first, second):
-            known.apply_reports([], {_REQUEST: 0})
-            known.apply_reports(crashes, {})
-            self.assertEqual(known.count_crashes(_REQUEST), 0)
+        for suspects in (first, second):
+            suspects.apply_reports([], {_REQUEST: 0})
+            suspects.apply_reports(crashes, {})
+            self.assertEqual(suspects.count_crashes(_REQUEST), 0)
--- a/seampond/rollouts/tests/test_evidence.py
+++ b/seampond/rollouts/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""When a version counts as good, and when as bad."""
+"""Verdicts on versions that are as good as, or worse than, the old one."""
 
 import random
 import unittest
@@ -8,83 +8,104 @@
 from seampond.testing.rollouts import ROUTE, Answers
 
 _OTHER_ROUTE = 2
-_TRIALS = 300
+_SEED_COUNT = 300
 
 
-def play(
-    usual: float, part: float, most: int = 400, seed: int = 0
+def simulate(
+    old_bad_share: float,
+    new_bad_share: float,
+    max_answers: int = 400,
+    seed: int = 0,
 ) -> tuple[Verdict, int]:
-    """Let both versions answer; give the verdict and the bad answers."""
+    """Simulate both versions; return the verdict and the bad answers."""
     rng = random.Random(seed)
     evidence = Evidence()
     for _ in range(60):
-        evidence.record(ROUTE, is_new=False, is_bad=rng.random() < usual)
-    for _ in range(most):
-        evidence.record(ROUTE, is_new=False, is_bad=rng.random() < usual)
-        evidence.record(ROUTE, is_new=True, is_bad=rng.random() < part)
+        evidence.record(
+            ROUTE, is_new=False, is_bad=rng.random() < old_bad_share
+        )
+    for _ in range(max_answers):
+        evidence.record(
+            ROUTE, is_new=False, is_bad=rng.random() < old_bad_share
+        )
+        evidence.record(ROUTE, is_new=True, is_bad=rng.random() < new_bad_share)
         if evidence.verdict is not Verdict.unproved:
             break
     return evidence.verdict, evidence.new_answers.bad
 
 
 class EvidenceTest(unittest.TestCase):
-    """Answers of both versions, in the same seconds."""
+    """Verdicts by the answers of both versions."""
 
-    def test_version_as_good_as_the_old_one_is_proved(self) -> None:
-        """Also where the old one fails every seventh time."""
-        for usual in (0, 0.02, 0.14):
-            found = [
-                play(usual, usual, seed=seed)[0] for seed in range(_TRIALS)
+    def test_equally_good_version_is_proved(self) -> None:
+        """Guards against a rejection for failures of the old version too."""
+        for old_bad_share in (0, 0.02, 0.14):
+            verdicts = [
+                simulate(old_bad_share, old_bad_share, seed=seed)[0]
+                for seed in range(_SEED_COUNT)
             ]
-            with self.subTest(usual=usual):
-                self.assertLessEqual(found.count(Verdict.bad), 3)
-                self.assertGreaterEqual(found.count(Verdict.good), 290)
+            with self.subTest(old_bad_share=old_bad_share):
+                self.assertLessEqual(verdicts.count(Verdict.bad), 3)
+                self.assertGreaterEqual(verdicts.count(Verdict.good), 290)
 
-    def test_bad_version_is_found_before_fifty_bad_answers(self) -> None:
-        """Nobody is to send there a while after the fiftieth."""
-        for usual, part in ((0, 0.3), (0.02, 0.4), (0.14, 0.5)):
-            ends = [play(usual, part, seed=seed) for seed in range(_TRIALS)]
-            found = [bad for verdict, bad in ends if verdict is Verdict.bad]
-            with self.subTest(usual=usual, part=part):
-                self.assertGreater(len(found), 290)
-                self.assertLess(max(found), 50)
+    def test_bad_version_is_rejected_early(self) -> None:
+        """Guards against a verdict after the fiftieth bad answer."""
+        for old_bad_share, new_bad_share in (
+            (0, 0.3),
+            (0.02, 0.4),
+            (0.14, 0.5),
+        ):
+            outcomes = [
+                simulate(old_bad_share, new_bad_share, seed=seed)
+                for seed in range(_SEED_COUNT)
+            ]
+            verdicts = [
+                bad for verdict, bad in outcomes if verdict is Verdict.bad
+            ]
+            with self.subTest(
+                old_bad_share=old_bad_share, new_bad_share=new_bad_share
+            ):
+                self.assertGreater(len(verdicts), 290)
+                self.assertLess(max(verdicts), 50)
 
-    def test_bad_version_is_seldom_called_good(self) -> None:
-        """By the error that is allowed, and some luck."""
-        found = [play(0.02, 0.3, seed=seed)[0] for seed in range(_TRIALS)]
-        self.assertLessEqual(found.count(Verdict.good), 6)
+    def test_bad_version_is_rarely_accepted(self) -> None:
+        """Guards against more wrong verdicts than the test allows."""
+        verdicts = [
+            simulate(0.02, 0.3, seed=seed)[0] for seed in range(_SEED_COUNT)
+        ]
+        self.assertLessEqual(verdicts.count(Verdict.good), 6)
 
-    def test_version_that_turns_bad_is_found_as_fast(self) -> None:
-        """A thousand good answers do not speak for what comes after."""
+    def test_late_failures_are_detected(self) -> None:
+        """Guards against early good answers that hide later failures."""
         evidence = Evidence()
         good = Answers(Tally(1000, 10), Tally(1000, 10))
         evidence.apply_counts('a', 1, good.as_tallies())
         self.assertIs(evidence.verdict, Verdict.good)
-        turned = Answers(Tally(1020, 10), Tally(1020, 18))
-        evidence.apply_counts('a', 1, turned.as_tallies())
+        later = Answers(Tally(1020, 10), Tally(1020, 18))
+        evidence.apply_counts('a', 1, later.as_tallies())
         self.assertIs(evidence.verdict, Verdict.bad)
 
-    def test_one_bad_route_is_enough(self) -> None:
-        """All the others are good."""
+    def test_one_bad_route_rejects_version(self) -> None:
+        """Guards against good routes that hide a bad one."""
         evidence = Evidence()
-        whole = Answers(Tally(900, 9), Tally(300, 3))
-        evidence.apply_counts('a', 1, whole.as_tallies())
-        part = Answers(Tally(60, 0), Tally(20, 9))
-        evidence.apply_counts('b', 1, part.as_tallies(_OTHER_ROUTE))
+        first_route = Answers(Tally(900, 9), Tally(300, 3))
+        evidence.apply_counts('a', 1, first_route.as_tallies())
+        new_bad_share = Answers(Tally(60, 0), Tally(20, 9))
+        evidence.apply_counts('b', 1, new_bad_share.as_tallies(_OTHER_ROUTE))
         self.assertIs(evidence.verdict, Verdict.bad)
 
-    def test_large_route_without_answers_is_not_proved(self) -> None:
-        """It may be the one that is bad."""
+    def test_large_route_without_answers_is_unproved(self) -> None:
+        """Guards against accepting a version that is untested on a route."""
         evidence = Evidence()
-        whole = Answers(Tally(900, 9), Tally(300, 3))
-        evidence.apply_counts('a', 1, whole.as_tallies())
+        first_route = Answers(Tally(900, 9), Tally(300, 3))
+        evidence.apply_counts('a', 1, first_route.as_tallies())
         evidence.apply_counts(
             'a2', 1, {TallyKey(_OTHER_ROUTE, is_new=False): Tally(200, 0)}
         )
         self.assertIs(evidence.verdict, Verdict.unproved)
 
-    def test_counts_that_come_twice_or_anew_count_once(self) -> None:
-        """A gateway tells its whole count each time; a new life begins at 0."""
+    def test_repeated_counts_are_added_once(self) -> None:
+        """Guards against totals that are added again, also after a restart."""
         evidence = Evidence()
         first = Answers(Tally(10, 0), Tally(4, 1))
         for _ in range(2):
@@ -94,8 +115,8 @@
         evidence.apply_counts('a', 2, second.as_tallies())
         self.assertEqual(evidence.new_answers, Tally(6, 1))
 
-    def test_counts_of_many_routes_fit_into_a_heartbeat(self) -> None:
-        """A configuration may have thousands of routes."""
+    def test_number_of_tallies_is_bounded(self) -> None:
+        """Guards against a heartbeat that exceeds a datagram."""
         evidence = Evidence()
         for route in range(1, 3000):
             evidence.record(route, is_new=True, is_bad=False)
--- a/seampond/rollouts/tests/test_exposure.py
+++ b/seampond/rollouts/tests/test_exposure.py
@@ -1,4 +1,4 @@
-"""The sum of what is exposed, whatever happens to gateways."""
+"""Total exposure of an unproved version over all gateways."""
 
 import unittest
 
@@ -8,10 +8,8 @@
 from seampond.rollouts.exposure import Exposure
 
 _SHARE = 0.1
-_SLACK = 50.0
-# What one gateway does next: it serves so many requests, or ends and starts
-# again; gateways may also be added.  No word between them is needed, so loss,
-# delay, doubling, a cut and a freeze change nothing.
+_ALLOWANCE = 50.0
+# Index of a gateway, event, number of requests.
 _EVENTS = st.lists(
     st.tuples(
         st.integers(0, 9),
@@ -24,32 +22,36 @@
 
 
 class ExposureTest(unittest.TestCase):
-    """Each gateway keeps to its own part."""
+    """Limits that each gateway applies on its own."""
 
     @settings(max_examples=200, derandomize=True, deadline=None, database=None)
     @given(st.integers(1, 40), _EVENTS)
-    def test_sum_stays_inside(
+    def test_total_exposure_is_bounded(
         self, count: int, events: list[tuple[int, str, int]]
     ) -> None:
-        """At each moment, not only at the end."""
-        fleet = [Exposure(_SHARE, _SLACK / count) for _ in range(count)]
-        sent = 0
-        exposed = 0
+        """Guards against exceeding the limits at any time."""
+        exposures = [Exposure(_SHARE, _ALLOWANCE / count) for _ in range(count)]
+        sent_count = 0
+        exposed_count = 0
         for number, kind, requests in events:
-            index = number % len(fleet)
+            index = number % len(exposures)
             if kind == 'restart':
-                fleet[index] = Exposure(_SHARE)
+                exposures[index] = Exposure(_SHARE)
             elif kind == 'add':
-                fleet.append(Exposure(_SHARE))
+                exposures.append(Exposure(_SHARE))
             else:
                 for _ in range(requests):
-                    one = fleet[index]
-                    exposed += one.record(is_new=one.may_expose)
-                    sent += 1
-                    self.assertLessEqual(exposed, _SHARE * sent + _SLACK)
-
-    def test_room_is_used(self) -> None:
-        """A bound that lets nothing through would be kept too."""
-        one = Exposure(_SHARE, 10)
-        exposed = sum(one.record(is_new=one.may_expose) for _ in range(1000))
-        self.assertGreater(exposed, 80)
+                    exposure = exposures[index]
+                    exposed_count += exposure.record(is_new=exposure.may_expose)
+                    sent_count += 1
+                    self.assertLessEqual(
+                        exposed_count, _SHARE * sent_count + _ALLOWANCE
+                    )
+
+    def test_limit_is_used(self) -> None:
+        """Guards against a limit that admits too few requests."""
+        exposure = Exposure(_SHARE, 10)
+        exposed_count = sum(
+            exposure.record(is_new=exposure.may_expose) for _ in range(1000)
+        )
+        self.assertGreater(exposed_count, 80)
--- a/seampond/rollouts/tests/test_model.py
+++ b/seampond/rollouts/tests/test_model.py
@@ -1,10 +1,9 @@
-"""Every order of events of a small fleet, by the code that decides.
+"""Exhaustive search over the event sequences of a small fleet.
 
-Two gateways and a store.  A write may be done at once, later, or not at all;
-heartbeats may come late or never; each gateway may end at any moment and start
-again; a version may be found good or bad by each.  What must hold in every
-state that can be reached: a final state never changes, and once it is `done`
-nobody has anything open on the old version or would send there.
+Two gateways and a store.  Writes may be delayed or lost, heartbeats late or
+lost, gateways may restart, and each may find a version good or bad.  In every
+reachable state a final state must not change, and once it is `done` no gateway
+may have requests open on the old version or send to it.
 """
 
 import copy
@@ -35,8 +34,8 @@
 )
 
 _KEY = 1
-# Longer than any pause of a decision.
-_TICK_MS = 60_000
+# Longer than any pause of the manager.
+_STEP_MS = 60_000
 
 
 def _hash_name(name: str) -> int:
@@ -53,38 +52,38 @@
 
 @dataclass
 class Node:
-    """One gateway: what it believes, has heard, and has open."""
+    """One gateway with its rollouts, received reports and open requests."""
 
     number: int
     backends: list[StubBackend] = field(
         default_factory=lambda: build_stub_backends(old=1, new=1)
     )
-    heard: dict[int, Report] = field(default_factory=dict)
-    has_other: bool = False
+    received: dict[int, Report] = field(default_factory=dict)
+    has_received: bool = False
     verdict: str = ''
 
     def __post_init__(self) -> None:
-        """Start a life."""
+        """Create the manager of a new incarnation."""
         self.manager = RolloutManager(
             ExposureLimits(0.1, 0),
             _count_gateways,
-            self.list_places,
+            self.list_backends,
             _has_pool,
             self.list_reports,
             _hash_name,
         )
 
-    def list_places(self, pool: str) -> list[StubBackend]:
-        """Give the servers."""
+    def list_backends(self, pool: str) -> list[StubBackend]:
+        """Return the backends."""
         return self.backends
 
     def list_reports(self) -> list[Mapping[int, Report]] | None:
-        """Give the newest word of the other one, whichever life it had."""
-        return [self.heard] if self.has_other else None
+        """Return the latest report of the other gateway."""
+        return [self.received] if self.has_received else None
 
     @property
     def open_old(self) -> int:
-        """What it has open on the old version."""
+        """Number of open requests on the old version."""
         return self.backends[0].in_flight
 
     @property
@@ -98,67 +97,73 @@
         )
 
     @property
-    def known(self) -> tuple[Status | None, Step | None]:
-        """What it knows of the store."""
-        known = self.manager._pools[POOL]
-        return known.status, known.step
+    def stored(self) -> tuple[Status | None, Step | None]:
+        """The rows that it has read from the store."""
+        stored = self.manager._pools[POOL]
+        return stored.status, stored.step
 
     def copy(self) -> 'Node':
-        """Give another one in the same state."""
+        """Return a copy."""
         other = Node(self.number)
         other.backends[0].in_flight = self.open_old
-        other.heard = dict(self.heard)
-        other.has_other = self.has_other
+        other.received = dict(self.received)
+        other.has_received = self.has_received
         other.verdict = self.verdict
         other.manager.is_state_loaded = self.manager.is_state_loaded
-        known = copy.copy(self.manager._pools[POOL])
-        known.rollout = copy.copy(known.rollout)
-        other.manager._pools[POOL] = known
+        stored = copy.copy(self.manager._pools[POOL])
+        stored.rollout = copy.copy(stored.rollout)
+        other.manager._pools[POOL] = stored
         return other
 
     @property
     def state(self) -> tuple[object, ...]:
-        """What makes its next decisions, beside what it knows."""
-        running = [(one.stage, one.is_rejected) for one in self.manager.running]
-        heard = self.heard.get(_KEY)
-        word = (heard.stage, heard.open_old) if heard else ()
+        """The state that its decisions depend on, besides these rows."""
+        running = [
+            (rollout.stage, rollout.is_rejected)
+            for rollout in self.manager.running
+        ]
+        received = self.received.get(_KEY)
+        report = (received.stage, received.open_old) if received else ()
         return (
             tuple(running),
-            word,
+            report,
             self.open_old,
             self.verdict,
-            self.has_other,
+            self.has_received,
         )
 
 
 @dataclass
 class World:
-    """The store, its late writes, and the gateways."""
+    """The store, delayed writes and the gateways."""
 
     nodes: list[Node]
     version: int = 10
     order: Order = field(default_factory=build_order)
     status: Status | None = None
     step: Step | None = None
-    late: list[Change] = field(default_factory=list)
-    ends: int = 1
-    lates: int = 1
-    opened: int = 1
+    delayed: list[Change] = field(default_factory=list)
+    kills: int = 1
+    delayed_writes: int = 1
+    opens_left: int = 1
     now_ms: int = 0
-    broken: str = ''
+    violation: str = ''
 
     @property
     def key(self) -> tuple[object, ...]:
-        """What tells this state from others.
+        """Key of the state, equal for equivalent states.
 
         Explanation
         -----------
-        Versions count by their order alone, and the gateways are alike.
+        Versions are replaced by their ranks, and gateways are interchangeable.
         """
-        told = [(self.status, self.step), *(node.known for node in self.nodes)]
-        versions = {row.version for pair in told for row in pair if row}
-        for late in self.late:
-            versions |= {late.status_version, late.step_version}
+        stored_rows = [
+            (self.status, self.step),
+            *(node.stored for node in self.nodes),
+        ]
+        versions = {row.version for pair in stored_rows for row in pair if row}
+        for delayed in self.delayed:
+            versions |= {delayed.status_version, delayed.step_version}
         order = sorted(versions | {0})
         ranks = {version: rank for rank, version in enumerate(order)}
         rows = [
@@ -166,7 +171,7 @@
                 status and (status.state.value, ranks[status.version]),
                 step and (step.is_closing, ranks[step.version]),
             )
-            for status, step in told
+            for status, step in stored_rows
         ]
         nodes = zip(rows[1:], self.nodes, strict=True)
         return (
@@ -174,21 +179,21 @@
             rows[0],
             tuple(
                 (
-                    late.state,
-                    bool(late.step),
-                    ranks[late.status_version],
-                    ranks[late.step_version],
+                    delayed.state,
+                    bool(delayed.step),
+                    ranks[delayed.status_version],
+                    ranks[delayed.step_version],
                 )
-                for late in self.late
+                for delayed in self.delayed
             ),
-            (self.ends, self.lates, self.opened),
+            (self.kills, self.delayed_writes, self.opens_left),
         )
 
     def copy(self) -> 'World':
-        """Give another one in the same state."""
+        """Return a copy."""
         other = copy.copy(self)
         other.nodes = [node.copy() for node in self.nodes]
-        other.late = list(self.late)
+        other.delayed = list(self.delayed)
         return other
 
     def read(self, node: Node) -> None:
@@ -198,7 +203,7 @@
         node.manager.apply_states(statuses, steps, self.now_ms)
 
     def apply(self, change: Change) -> None:
-        """Do a write, if what it rests on still holds."""
+        """Apply a write if its expected versions match."""
         status_version = self.status.version if self.status else 0
         step_version = self.step.version if self.step else 0
         expected = (self.order.version, status_version, step_version)
@@ -211,109 +216,109 @@
         self.version += 1
         if change.state is not None:
             if self.status and self.status.state.is_final:
-                self.broken = 'a final state has changed'
+                self.violation = 'a final state has changed'
             self.status = Status(change.state, change.target, self.version)
         if change.step is not None:
-            told = change.step
+            step = change.step
             self.step = Step(
-                told.order, told.is_closing, told.since_ms, self.version
+                step.order, step.is_closing, step.since_ms, self.version
             )
 
     def check(self) -> None:
-        """Note what must not be."""
+        """Record a violation of the rules."""
         if self.status is None or self.status.state is not State.done:
             return
         for node in self.nodes:
             if node.open_old:
-                self.broken = f'open on the old version of {node.number}'
+                self.violation = f'open on the old version of {node.number}'
             elif node.sends_old:
-                self.broken = f'{node.number} sends to the old version'
+                self.violation = f'{node.number} sends to the old version'
 
-    def list_next(self) -> Iterator[tuple[str, int]]:
-        """Give what may happen next, to which gateway."""
+    def list_events(self) -> Iterator[tuple[str, int]]:
+        """Yield the possible events, each with its gateway."""
         for number, node in enumerate(self.nodes):
             yield 'read', number
             yield 'hear', number
             yield 'write', number
             if not node.verdict:
                 yield 'good', number
-            # Some versions turn bad later on.
+            # A good version may turn bad later.
             if node.verdict != 'bad':
                 yield 'bad', number
-            if self.lates:
+            if self.delayed_writes:
                 yield 'write late', number
-            if self.ends:
+            if self.kills:
                 yield 'end', number
             if node.open_old:
                 yield 'close', number
-            elif node.sends_old and self.opened:
+            elif node.sends_old and self.opens_left:
                 yield 'open', number
-        if self.late:
+        if self.delayed:
             yield 'done late', 0
 
-    def happen(self, kind: str, number: int) -> None:
-        """Let it happen."""
-        self.now_ms += _TICK_MS
-        kinds: dict[str, Callable[[Node], None]] = {
+    def apply_event(self, event: str, number: int) -> None:
+        """Apply an event and check the rules."""
+        self.now_ms += _STEP_MS
+        handlers: dict[str, Callable[[Node], None]] = {
             'read': self.read,
-            'hear': self._hear,
+            'hear': self._receive_heartbeat,
             'write': self._write,
-            'write late': self._write_late,
-            'done late': self._do_late,
-            'good': self._find_good,
-            'bad': self._find_bad,
-            'end': self._end,
+            'write late': self._write_delayed,
+            'done late': self._apply_delayed,
+            'good': self._record_good,
+            'bad': self._record_bad,
+            'end': self._kill,
             'open': self._open,
             'close': self._close,
         }
-        kinds[kind](self.nodes[number])
+        handlers[event](self.nodes[number])
         self.check()
 
-    def _hear(self, node: Node) -> None:
-        """Let a heartbeat of the other one come."""
+    def _receive_heartbeat(self, node: Node) -> None:
+        """Receive a heartbeat of the other gateway."""
         other = self.nodes[1 - node.number]
-        node.has_other = True
+        node.has_received = True
         reports = other.manager.build_reports()
-        node.heard = {report.pool: report for report in reports}
+        node.received = {report.pool: report for report in reports}
         node.manager.apply_reports(str(other.number), 1, reports)
 
     def _write(self, node: Node) -> None:
         for change in node.manager.plan_changes(self.now_ms):
             self.apply(change)
 
-    def _write_late(self, node: Node) -> None:
+    def _write_delayed(self, node: Node) -> None:
         for change in node.manager.plan_changes(self.now_ms):
-            self.lates -= 1
-            self.late.append(change)
+            self.delayed_writes -= 1
+            self.delayed.append(change)
 
-    def _do_late(self, _node: Node) -> None:
-        self.apply(self.late.pop())
+    def _apply_delayed(self, _node: Node) -> None:
+        self.apply(self.delayed.pop())
 
-    def _find_good(self, node: Node) -> None:
+    def _record_good(self, node: Node) -> None:
         node.verdict = 'good'
         for rollout in node.manager.running:
             if rollout.stage is Stage.trial:
                 rollout.stage = Stage.moved
 
-    def _find_bad(self, node: Node) -> None:
+    def _record_bad(self, node: Node) -> None:
         node.verdict = 'bad'
         for rollout in node.manager.running:
             rollout.reject('bad answers')
 
-    def _end(self, node: Node) -> None:
-        """End a life with all that is open; the next one reads first."""
-        self.ends -= 1
-        self.nodes[node.number] = start(self, node.number)
+    def _kill(self, node: Node) -> None:
+        """Restart a gateway; the new incarnation reads the store first."""
+        self.kills -= 1
+        self.nodes[node.number] = start_node(self, node.number)
 
     def _open(self, node: Node) -> None:
         node.backends[0].in_flight += 1
-        self.opened -= 1
+        self.opens_left -= 1
 
     def _close(self, node: Node) -> None:
         node.backends[0].in_flight -= 1
 
 
-def start(world: World | None, number: int) -> Node:
+def start_node(world: World | None, number: int) -> Node:
     """Start a gateway."""
     node = Node(number)
     if world is not None:
@@ -324,70 +329,78 @@
     return node
 
 
-def explore(begin: World) -> tuple[int, list[str]]:
-    """Visit each state that can be reached; give their number and a fault."""
-    known = {begin.key}
-    queue: deque[tuple[World, tuple[str, ...]]] = deque([(begin, ())])
+def explore(initial: World) -> tuple[int, list[str]]:
+    """Visit all reachable states; return their number and a violation."""
+    visited = {initial.key}
+    queue: deque[tuple[World, tuple[str, ...]]] = deque([(initial, ())])
     while queue:
         world, path = queue.popleft()
-        for kind, number in world.list_next():
-            after = world.copy()
-            after.happen(kind, number)
-            if after.broken:
-                return len(known), [*path, f'{kind} {number}', after.broken]
-            if after.key not in known:
-                known.add(after.key)
-                queue.append((after, (*path, f'{kind} {number}')))
-    return len(known), []
-
-
-def begin(ends: int, lates: int) -> World:
-    """Give a fleet to which an order was just given.
+        for event, number in world.list_events():
+            successor = world.copy()
+            successor.apply_event(event, number)
+            if successor.violation:
+                return len(visited), [
+                    *path,
+                    f'{event} {number}',
+                    successor.violation,
+                ]
+            if successor.key not in visited:
+                visited.add(successor.key)
+                queue.append((successor, (*path, f'{event} {number}')))
+    return len(visited), []
+
+
+def build_world(kills: int, delayed_writes: int) -> World:
+    """Return a fleet that just received an order.
 
     Parameters
     ----------
-    ends, lates : int
-        How many lives may end, and how many writes may be done late.
+    kills, delayed_writes : int
+        Number of restarts and of delayed writes.
 
     """
-    world = World([], ends=ends, lates=lates)
-    world.nodes = [start(world, number) for number in range(2)]
+    world = World([], kills=kills, delayed_writes=delayed_writes)
+    world.nodes = [start_node(world, number) for number in range(2)]
     return world
 
 
-def _always(report: Report) -> bool:
-    """Take a gateway for empty, whatever it tells."""
+def _is_always_drained(report: Report) -> bool:
+    """Regard every gateway as drained."""
     return True
 
 
-def _go_back(rollout: Rollout, reason: str) -> None:
-    """Send to the old version again at once."""
+def _return_to_old_version(rollout: Rollout, reason: str) -> None:
+    """Return to the old version at once."""
     rollout.is_rejected = True
     rollout.stage = Stage.refused
 
 
 class ModelTest(TestCase):
-    """All that can happen to two gateways."""
+    """Search over all events of two gateways."""
 
     def setUp(self) -> None:
-        """Log nothing: each state would."""
+        """Disable logging, since each state would log."""
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_no_order_of_events_breaks_a_promise(self) -> None:
-        """The number of states says that the search was no empty one."""
-        for ends, lates, states in ((1, 0, 29_538), (0, 1, 50_745)):
-            with self.subTest(ends=ends, lates=lates):
-                self.assertEqual(explore(begin(ends, lates)), (states, []))
+    def test_no_sequence_of_events_violates_rules(self) -> None:
+        """Guards against a violation, and against a search that stops early."""
+        for kills, delayed_writes, states in ((1, 0, 29_538), (0, 1, 50_745)):
+            with self.subTest(kills=kills, delayed_writes=delayed_writes):
+                self.assertEqual(
+                    explore(build_world(kills, delayed_writes)), (states, [])
+                )
 
-    def test_search_finds_an_end_with_open_work(self) -> None:
-        """Where nobody looks whether the old version is empty."""
-        with mock.patch('seampond.rollouts.manager._is_drained', _always):
-            _, fault = explore(begin(0, 0))
+    def test_search_finds_open_requests_when_done(self) -> None:
+        """Guards against a search that misses requests on the old version."""
+        with mock.patch(
+            'seampond.rollouts.manager._is_drained', _is_always_drained
+        ):
+            _, fault = explore(build_world(0, 0))
         self.assertTrue(fault)
 
-    def test_search_finds_a_way_back_that_is_not_agreed(self) -> None:
-        """Where a closed gateway goes back by its own judgement."""
-        with mock.patch.object(Rollout, 'reject', _go_back):
-            _, fault = explore(begin(0, 0))
+    def test_search_finds_return_without_rollback(self) -> None:
+        """Guards against a search that misses an uncoordinated return."""
+        with mock.patch.object(Rollout, 'reject', _return_to_old_version):
+            _, fault = explore(build_world(0, 0))
         self.assertTrue(fault)
--- a/seampond/rollouts/tests/test_rollout.py
+++ b/seampond/rollouts/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""How one gateway carries out one order."""
+"""Stages of a rollout at one gateway, and the changes it plans."""
 
 import unittest
 from collections.abc import Mapping
@@ -25,38 +25,38 @@
 
 
 def list_versions(groups: tuple[list[StubBackend], ...]) -> list[set[str]]:
-    """Give the versions in each group."""
+    """Return the versions in each group."""
     return [{backend.server.version for backend in group} for group in groups]
 
 
 class StageTest(unittest.TestCase):
-    """The stages, by evidence and time."""
+    """Stages by evidence and time."""
 
     def setUp(self) -> None:
-        """Order a version of which four servers stand beside four others."""
+        """Create a rollout with four servers of each version."""
         self.backends = build_stub_backends()
         self.rollout = Rollout(build_order(), Exposure(0.1, 5), 0)
 
     def evaluate(self, now_ms: int) -> Stage:
-        """Decide, and give the stage."""
-        counted = self.rollout.count_servers(self.backends)
-        self.rollout.evaluate(now_ms, counted)
+        """Evaluate the rollout and return its stage."""
+        counts = self.rollout.count_servers(self.backends)
+        self.rollout.evaluate(now_ms, counts)
         return self.rollout.stage
 
-    def test_few_requests_go_to_few_servers_at_first(self) -> None:
-        """So that these carry a load; one that was sent before goes not."""
-        first = self.rollout.group_backends(self.backends, 100, 0.5)
-        self.assertEqual(list_versions(first), [{NEW}, {OLD}])
-        self.assertEqual(len(first[0]), 1)
-        again = self.rollout.group_backends(self.backends, 100, None)
-        self.assertEqual(list_versions(again), [{OLD}])
+    def test_trial_uses_few_requests_and_servers(self) -> None:
+        """Guards against exposure beyond the limit, and of further attempts."""
+        first_attempt = self.rollout.group_backends(self.backends, 100, 0.5)
+        self.assertEqual(list_versions(first_attempt), [{NEW}, {OLD}])
+        self.assertEqual(len(first_attempt[0]), 1)
+        further_attempt = self.rollout.group_backends(self.backends, 100, None)
+        self.assertEqual(list_versions(further_attempt), [{OLD}])
         self.rollout.exposure.exposed = 50
         self.rollout.exposure.sent = 100
-        spent = self.rollout.group_backends(self.backends, 100, 0)
-        self.assertEqual(list_versions(spent), [{OLD}])
+        after_limit = self.rollout.group_backends(self.backends, 100, 0)
+        self.assertEqual(list_versions(after_limit), [{OLD}])
 
-    def test_proved_version_takes_more_and_more(self) -> None:
-        """But not in the first quarter of the time: some turn bad later."""
+    def test_proved_version_ramps_up(self) -> None:
+        """Guards against a ramp before the minimum trial, or at once."""
         self.rollout.evidence.apply_counts('a', 1, _GOOD.as_tallies())
         self.evaluate(1000)
         self.assertEqual(self.rollout.traffic_share(1000), 0)
@@ -67,8 +67,8 @@
         groups = self.rollout.group_backends(self.backends, 4700, None)
         self.assertEqual(list_versions(groups), [{NEW}, {OLD}])
 
-    def test_bad_version_gets_nothing(self) -> None:
-        """From any moment of the trial or of the rise on, for good."""
+    def test_bad_version_gets_no_requests(self) -> None:
+        """Guards against requests to a version found bad at any time."""
         for at_ms in (500, 4000, 20_000):
             with self.subTest(at_ms=at_ms):
                 self.setUp()
@@ -78,37 +78,37 @@
                 groups = self.rollout.group_backends(self.backends, at_ms, 0)
                 self.assertEqual(list_versions(groups), [{OLD}])
 
-    def test_few_answers_without_a_bad_one_are_trusted_late(self) -> None:
-        """Else a pool with little work would never get its new version."""
-        few = Answers(Tally(40, 0), Tally(5, 0))
-        self.rollout.evidence.apply_counts('a', 1, few.as_tallies())
+    def test_few_good_answers_are_accepted_late(self) -> None:
+        """Guards against a pool with little traffic that is never moved."""
+        few_answers = Answers(Tally(40, 0), Tally(5, 0))
+        self.rollout.evidence.apply_counts('a', 1, few_answers.as_tallies())
         self.evaluate(5900)
         self.assertIsNone(self.rollout.proved_ms)
         self.evaluate(6000)
         self.assertEqual(self.rollout.proved_ms, 6000)
 
-    def test_version_without_servers_is_given_up_in_the_end(self) -> None:
-        """Nothing can move there."""
+    def test_version_without_servers_is_rejected(self) -> None:
+        """Guards against an order that runs forever without servers."""
         self.backends = build_stub_backends(new=0)
         self.evaluate(11_000)
         self.assertFalse(self.rollout.is_rejected)
         self.evaluate(12_001)
         self.assertTrue(self.rollout.is_rejected)
 
-    def test_version_that_serves_alone_has_moved(self) -> None:
-        """An order for what is there already."""
+    def test_only_version_counts_as_moved(self) -> None:
+        """Guards against an order that waits for evidence in vain."""
         self.backends = build_stub_backends(old=0)
         self.assertIs(self.evaluate(10), Stage.moved)
 
-    def test_too_few_new_servers_do_not_take_all(self) -> None:
-        """The old ones would stop with half of the work waiting."""
+    def test_too_few_new_servers_stay_in_trial(self) -> None:
+        """Guards against a move to servers that lack slots."""
         self.backends = build_stub_backends(old=6, new=1)
         self.rollout.evidence.apply_counts('a', 1, _GOOD.as_tallies())
         self.evaluate(3000)
         self.assertIs(self.evaluate(9000), Stage.trial)
 
-    def test_closed_gateway_goes_back_by_the_stores_word_alone(self) -> None:
-        """The old servers may have been told to stop."""
+    def test_closed_gateway_returns_by_store_only(self) -> None:
+        """Guards against requests to old servers that are stopping."""
         step = Step(10, is_closing=True, since_ms=0, version=12)
         self.rollout.apply_step(step)
         self.rollout.evidence.apply_counts('a', 1, _BAD.as_tallies())
@@ -116,23 +116,23 @@
         groups = self.rollout.group_backends(self.backends, 5000, 0.5)
         self.assertEqual(list_versions(groups), [{NEW}])
         self.assertIs(
-            self.rollout.build_report(1, self.counted).stage, Stage.refused
+            self.rollout.build_report(1, self.counts).stage, Stage.refused
         )
         self.rollout.apply_status(Status(State.rolled_back, NEW, 13))
         groups = self.rollout.group_backends(self.backends, 5000, 0.5)
         self.assertEqual(list_versions(groups), [{OLD}])
 
     @property
-    def counted(self):  # type: ignore[no-untyped-def]
-        """The servers as they are counted."""
+    def counts(self):  # type: ignore[no-untyped-def]
+        """The slots and open requests by version."""
         return self.rollout.count_servers(self.backends)
 
 
-class DeskTest(unittest.TestCase):
-    """What is written of orders, and when."""
+class RolloutManagerTest(unittest.TestCase):
+    """Changes that are planned for the store."""
 
     def setUp(self) -> None:
-        """Know one other gateway and no order."""
+        """Create a manager without orders and reports."""
         self.backends = build_stub_backends()
         self.others: list[Mapping[int, Report]] | None = []
         self.pools = {POOL}
@@ -147,17 +147,17 @@
         self.manager.apply_states({}, {}, 0)
 
     def order(self, **changes: object) -> Rollout:
-        """Give an order."""
+        """Apply an order and return its rollout."""
         self.manager.apply_orders([build_order(**changes)], [], 0)
         return self.manager.running[0]
 
     def plan(self, now_ms: int) -> Change | None:
-        """Give what would be written now, None for nothing."""
+        """Return the planned change, None for none."""
         changes = self.manager.plan_changes(now_ms)
         return changes[0] if changes else None
 
     def write(self, version: int, now_ms: int = 0) -> Change:
-        """Let the next change be done in the store."""
+        """Apply the planned change in the store and read it back."""
         change = self.plan(now_ms)
         assert change is not None
         statuses: dict[str, Status | None] = {}
@@ -165,25 +165,25 @@
         if change.state is not None:
             statuses[POOL] = Status(change.state, change.target, version)
         if change.step is not None:
-            told = change.step
+            step = change.step
             steps[POOL] = Step(
-                told.order, told.is_closing, told.since_ms, version
+                step.order, step.is_closing, step.since_ms, version
             )
         self.manager.apply_states(statuses, steps, now_ms)
         return change
 
-    def test_order_runs_first(self) -> None:
-        """On the condition that no row has changed."""
+    def test_new_order_is_set_running(self) -> None:
+        """Guards against a write that is not conditional on the rows."""
         self.order()
         change = self.write(11)
         self.assertIs(change.state, State.running)
         self.assertEqual((change.order_version, change.status_version), (10, 0))
         self.assertIsNone(self.plan(0))
 
-    def test_all_have_to_move_before_it_closes_and_empty_before_done(
+    def test_closing_and_done_need_all_gateways(
         self,
     ) -> None:
-        """Also one that is silent, and one that does not know the order."""
+        """Guards against ignoring gateways that are silent or behind."""
         rollout = self.order()
         self.write(11)
         rollout.stage = Stage.moved
@@ -203,14 +203,14 @@
         closing = self.write(12, 5000)
         assert closing.step is not None
         self.assertTrue(closing.step.is_closing)
-        for told in (
+        for new_report in (
             Report(key, 10, Stage.moved),
             Report(key, 10, Stage.closed, open_old=1),
         ):
-            self.others = [{key: told}]
+            self.others = [{key: new_report}]
             self.assertIsNone(self.plan(9000))
         self.others = [{key: Report(key, 10, Stage.closed)}]
-        # One that has just started may not be on the list yet.
+        # A gateway that has just started may not be listed yet.
         self.assertIsNone(self.plan(5500))
         self.backends[0].in_flight = 1
         self.assertIsNone(self.plan(9000))
@@ -219,8 +219,8 @@
         self.assertIs(done.state, State.done)
         self.assertEqual(self.manager.running, [])
 
-    def test_rest_of_a_finished_order(self) -> None:
-        """The old ones are stopped; a refused version gets nothing."""
+    def test_finished_order_selects_version(self) -> None:
+        """Guards against requests to the version that was given up."""
         for state, version in ((State.done, NEW), (State.rolled_back, OLD)):
             with self.subTest(state=state):
                 self.setUp()
@@ -235,8 +235,8 @@
                 self.assertEqual(set(versions), {version})
                 self.assertEqual(len(groups), 1)
 
-    def test_status_of_an_earlier_order_is_none_of_this_one(self) -> None:
-        """The same version may be ordered again."""
+    def test_status_of_earlier_order_is_ignored(self) -> None:
+        """Guards against ending a repeated order by the old status."""
         self.manager.apply_states(
             {POOL: Status(State.rolled_back, NEW, 4)}, {}, 0
         )
@@ -246,8 +246,8 @@
         self.assertIs(change.state, State.running)
         self.assertEqual(change.status_version, 4)
 
-    def test_order_taken_back_is_rolled_back(self) -> None:
-        """And one for a pool that the configuration does not name."""
+    def test_withdrawn_order_is_rolled_back(self) -> None:
+        """Guards against a rollout without an order or a pool."""
         self.order()
         self.write(11)
         self.manager.apply_orders([], [POOL], 100)
@@ -263,8 +263,8 @@
         assert change is not None
         self.assertEqual(change.reason, 'no such pool')
 
-    def test_later_order_replaces_one_that_runs(self) -> None:
-        """With a trial of its own."""
+    def test_later_order_replaces_running_one(self) -> None:
+        """Guards against a new version that skips its trial."""
         self.order()
         self.write(11)
         self.manager.apply_orders(
@@ -277,8 +277,8 @@
         assert change is not None
         self.assertEqual(change.target, 'v3')
 
-    def test_other_gateways_word_is_enough_to_refuse(self) -> None:
-        """At once, also while the store cannot be reached."""
+    def test_rejection_by_another_gateway_is_applied(self) -> None:
+        """Guards against sending on while the store is unreachable."""
         rollout = self.order()
         key = len(POOL)
         self.manager.apply_reports('b', 1, [Report(key, 10, Stage.refused)])
@@ -287,28 +287,28 @@
         assert change is not None
         self.assertIs(change.state, State.rolled_back)
 
-    def test_gateway_that_starts_has_no_part_of_the_allowance(self) -> None:
-        """An earlier life of it may have spent it."""
+    def test_started_gateway_gets_no_allowance(self) -> None:
+        """Guards against an allowance that is used once per restart."""
         self.assertEqual(self.order().exposure.allowance, 25)
         self.setUp()
         self.manager.apply_orders([build_order()], [], 0, is_start=True)
         self.assertEqual(self.manager.running[0].exposure.allowance, 0)
 
-    def test_time_counts_from_the_order_also_for_a_later_start(self) -> None:
-        """The step tells when it was given."""
+    def test_started_gateway_uses_time_of_order(self) -> None:
+        """Guards against a trial that starts anew with the gateway."""
         self.manager.apply_orders([build_order()], [], 9000, is_start=True)
         step = Step(10, is_closing=False, since_ms=2000, version=11)
         self.manager.apply_states({}, {POOL: step}, 9000)
         self.assertEqual(self.manager.running[0].started_ms, 2000)
 
-    def test_slow_answers_are_bad(self) -> None:
-        """Against what the old version takes on the same route."""
-        for number in range(40):
+    def test_slow_answers_count_as_bad(self) -> None:
+        """Guards against a slow version that is accepted."""
+        for extra_ms in range(40):
             self.manager.record_answer(
                 POOL,
                 ROUTE,
                 OLD,
-                LatencySample('gap', 20 + number),
+                LatencySample('gap', 20 + extra_ms),
                 0,
                 is_bad=False,
             )
@@ -321,19 +321,17 @@
         self.manager.evaluate(100)
         self.assertIs(rollout.stage, Stage.refused)
 
-    def test_slowness_counts_only_beside_the_old_version(self) -> None:
-        """Once it gets nothing, a burst would look like a bad version.
+    def test_slow_answers_need_baseline_traffic(self) -> None:
+        """Guards against rejecting a good version for a load spike.
 
-        Symptom: a good version was rolled back 0.4 s after it had taken all,
-        with 11 of 51 answers bad, on a machine that had just become busy.
-        Failures go on to count.
+        Failures still count.
         """
-        for number in range(40):
+        for extra_ms in range(40):
             self.manager.record_answer(
                 POOL,
                 ROUTE,
                 OLD,
-                LatencySample('gap', 20 + number),
+                LatencySample('gap', 20 + extra_ms),
                 0,
                 is_bad=False,
             )
@@ -345,14 +343,14 @@
             )
         self.assertEqual(rollout.evidence.new_answers, Tally(2, 1))
 
-    def test_send_without_an_answer_counts_if_it_took_long(self) -> None:
-        """Callers also leave early for reasons of their own."""
-        for number in range(40):
+    def test_unanswered_attempt_counts_if_slow(self) -> None:
+        """Guards against counting callers that leave early."""
+        for extra_ms in range(40):
             self.manager.record_answer(
                 POOL,
                 ROUTE,
                 OLD,
-                LatencySample('gap', 20 + number),
+                LatencySample('gap', 20 + extra_ms),
                 0,
                 is_bad=False,
             )
@@ -369,16 +367,16 @@
             )
         self.assertEqual(rollout.evidence.new_answers, Tally(1, 1))
 
-    def test_nothing_is_written_before_the_states_are_read(self) -> None:
-        """They may say that the order has ended."""
+    def test_no_write_before_states_are_loaded(self) -> None:
+        """Guards against writes for an order that has ended."""
         self.manager.is_state_loaded = False
         self.order()
         self.assertIsNone(self.plan(0))
 
-    def test_order_that_comes_turns_no_gateway_unready(self) -> None:
-        """All would be at once, for as long as the store does not answer.
+    def test_new_order_keeps_gateway_ready(self) -> None:
+        """Guards against all gateways being unready while the store is down.
 
-        One that starts while an order runs has to read its state first.
+        A gateway that starts during a rollout must read its state first.
         """
         self.manager.is_state_loaded = False
         self.order()
@@ -389,8 +387,8 @@
         self.manager.apply_states({}, {}, 0)
         self.assertTrue(self.manager.is_ready)
 
-    def test_state_that_was_removed_is_written_anew(self) -> None:
-        """A change that rests on a row that is gone would never be made."""
+    def test_removed_state_is_written_again(self) -> None:
+        """Guards against writes that expect a removed row."""
         self.order()
         self.write(11)
         self.assertEqual(self.manager.pools_with_state, {POOL})
@@ -399,15 +397,15 @@
         assert change is not None
         self.assertEqual((change.status_version, change.step_version), (0, 0))
 
-    def test_stuck_order_holds_up_no_other(self) -> None:
-        """Each pool has a change of its own."""
+    def test_pools_are_planned_independently(self) -> None:
+        """Guards against an order that blocks those of other pools."""
         self.order()
         self.order(pool='api', version=12)
         pools = [change.pool for change in self.manager.plan_changes(0)]
         self.assertEqual(pools, [POOL, 'api'])
 
-    def test_pool_that_nobody_asks_moves_late(self) -> None:
-        """Nothing can be proved there, and nobody harmed."""
+    def test_idle_pool_is_accepted_late(self) -> None:
+        """Guards against an idle pool that is never moved."""
         rollout = self.order()
         self.manager.evaluate(5900)
         self.assertIsNone(rollout.proved_ms)
--- a/seampond/testing/rollouts.py
+++ b/seampond/testing/rollouts.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of roll-outs."""
+"""Builders for the tests of rollouts."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StubServer:
-    """A server of some version."""
+    """A server of a version."""
 
     id: str
     version: str
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class StubBackend:
-    """What stands for it where requests are placed."""
+    """A backend for a stub server."""
 
     server: StubServer
     in_flight: int = 0
@@ -30,14 +30,14 @@
 
 
 def build_stub_backends(old: int = 4, new: int = 4) -> list[StubBackend]:
-    """Give servers of both versions."""
+    """Return backends of both versions."""
     names = [(f'o{number}', OLD) for number in range(old)]
     names += [(f'n{number}', NEW) for number in range(new)]
     return [StubBackend(StubServer(*name)) for name in names]
 
 
 def build_order(**changes: Any) -> Order:
-    """Give an order of twelve seconds."""
+    """Return an order of 12 s."""
     content: dict[str, Any] = {
         'pool': POOL,
         'target': NEW,
@@ -49,13 +49,13 @@
 
 @dataclass
 class Answers:
-    """Counts of both versions on one route, as a gateway tells them."""
+    """Tallies of both versions on one route."""
 
     old: Tally = field(default_factory=Tally)
     new: Tally = field(default_factory=Tally)
 
     def as_tallies(self, route: int = ROUTE) -> dict[TallyKey, Tally]:
-        """Give them as they are told."""
+        """Return the tallies as gateways report them."""
         return {
             TallyKey(route, is_new=False): self.old,
             TallyKey(route, is_new=True): self.new,
