--- a/seampond/gateway/tests/signalling_case.py
+++ b/seampond/gateway/tests/signalling_case.py
@@ -1,4 +1,4 @@
-"""Gateways before servers that say something of themselves in their answers."""
+"""Base of tests with servers that send signals in response headers."""
 
 import asyncio
 from http import HTTPStatus
@@ -17,13 +17,13 @@
 from seampond.testing.saying import SayingFleet, run_saying
 
 SERVERS = 6
-# 40 requests a second, at the gateways in turn.
-_EVERY_MS = 25
-_UP_S = 20
+# 40 requests a second, to the gateways in turn.
+_REQUEST_INTERVAL_MS = 25
+_START_TIMEOUT_S = 20
 
 
 class SignallingCase(GatewayCase):
-    """Some gateways before six servers."""
+    """Some gateways in front of six servers."""
 
     async def open_fleet(
         self, kind: str = IDEMPOTENT, gateways: int = 2, **row: Any
@@ -37,7 +37,9 @@
             server.is_stream = kind == STREAM
         names = [f'g{number}' for number in range(gateways)]
         self.gateways = await asyncio.gather(*map(self.open_gateway, names))
-        await until_true(lambda: all(map(self._is_up, self.gateways)), _UP_S)
+        await until_true(
+            lambda: all(map(self._is_up, self.gateways)), _START_TIMEOUT_S
+        )
         return self.saying
 
     async def open_gateway(self, name: str) -> RunningGateway:
@@ -48,25 +50,32 @@
         )
 
     async def drive(self, for_ms: int) -> int:
-        """Bring requests for a while; give when that began."""
+        """Send requests for some time; return when that began."""
         since_ms = self.saying.clock.now()
-        addresses = [one.components.settings.listen for one in self.gateways]
+        addresses = [
+            gateway.components.settings.listen for gateway in self.gateways
+        ]
         await self.saying.keep_asking(
-            addresses, lambda number: b'%d' % number, _EVERY_MS, for_ms
+            addresses,
+            lambda number: b'%d' % number,
+            _REQUEST_INTERVAL_MS,
+            for_ms,
         )
         return since_ms
 
-    def check_returns(self, since_ms: int, soon_ms: int) -> None:
-        """Check that who was not served was told so soon, and when to come."""
-        for one in self.saying.asked:
-            if one.at_ms >= since_ms and one.status != HTTPStatus.OK:
-                self.assertEqual(one.status, HTTPStatus.SERVICE_UNAVAILABLE)
-                self.assertLessEqual(one.head_ms - one.at_ms, soon_ms)
-                self.assertGreater(float(one.headers['retry-after']), 0)
+    def check_refusals(self, since_ms: int, soon_ms: int) -> None:
+        """Check that unserved requests are refused soon with a retry time."""
+        for caller in self.saying.asked:
+            if caller.at_ms >= since_ms and caller.status != HTTPStatus.OK:
+                self.assertEqual(caller.status, HTTPStatus.SERVICE_UNAVAILABLE)
+                self.assertLessEqual(caller.head_ms - caller.at_ms, soon_ms)
+                self.assertGreater(float(caller.headers['retry-after']), 0)
 
     def _is_up(self, gateway: RunningGateway) -> bool:
         components = gateway.components
-        is_known = len(components.backends) == SERVERS
-        is_listed = components.peers.count == len(self.gateways)
+        has_servers = len(components.backends) == SERVERS
+        has_gateways = components.peers.count == len(self.gateways)
         is_proved = components.web.admission.is_proved
-        return components.is_ready and is_proved and is_known and is_listed
+        return (
+            components.is_ready and is_proved and has_servers and has_gateways
+        )
--- a/seampond/gateway/tests/test_callers.py
+++ b/seampond/gateway/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that leave unserved, and callers that find a crowd before them."""
+"""Tests of callers that disconnect and of many idle connections."""
 
 import asyncio
 import contextlib
@@ -8,15 +8,15 @@
 from seampond.testing.gateways import until_true
 from seampond.testing.scripted import Received
 
-_RESTING = 300
-_LEAVE_S = 0.05
+_IDLE_CONNECTIONS = 300
+_DISCONNECT_S = 0.05
 
 
 class CallersTest(GatewayCase):
     """One gateway, one server."""
 
-    async def test_who_leaves_while_waiting_reaches_no_server(self) -> None:
-        """Not even when a place comes free right afterwards."""
+    async def test_caller_that_disconnects_in_the_queue(self) -> None:
+        """Its request is not sent when a slot becomes free."""
         is_free = asyncio.Event()
         serve = self.serve
 
@@ -30,25 +30,27 @@
         scheduler = gateway.components.scheduler
         backends = gateway.components.backends
         await until_true(
-            lambda: all(known.server.slots == 1 for known in backends)
+            lambda: all(backend.server.slots == 1 for backend in backends)
         )
         first = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
-        second = await self._open(gateway.components.settings.listen, 'r2')
+        second = await self._send_request(
+            gateway.components.settings.listen, 'r2'
+        )
         await until_true(lambda: scheduler.waiting == 1)
         second.transport.abort()
         await until_true(lambda: scheduler.waiting == 0)
         is_free.set()
         response = await first
         self.assertEqual(response.status_code, 200)
-        await asyncio.sleep(_LEAVE_S)
+        await asyncio.sleep(_DISCONNECT_S)
         self.assertEqual(len(self.server.received), 1)
 
-    async def test_ready_gateway_takes_callers_beside_a_crowd(self) -> None:
-        """Connections that rest, and heads that never end, hold nobody up."""
+    async def test_idle_connections_do_not_block_callers(self) -> None:
+        """Neither do connections whose request head never ends."""
         gateway = await self.start_ready()
         address = gateway.components.settings.listen
-        for number in range(_RESTING):
+        for number in range(_IDLE_CONNECTIONS):
             writer = await self._connect(address)
             if number % 2:
                 writer.write(b'POST /x/y HTTP/1.1\r\nHost: ')
@@ -59,11 +61,13 @@
     async def _connect(self, address: str) -> asyncio.StreamWriter:
         host, _, port = address.rpartition(':')
         _, writer = await asyncio.open_connection(host, int(port))
-        self.addAsyncCleanup(_end, writer)
+        self.addAsyncCleanup(_close, writer)
         return writer
 
-    async def _open(self, address: str, name: str) -> asyncio.StreamWriter:
-        """Send a request whose answer nobody waits for."""
+    async def _send_request(
+        self, address: str, name: str
+    ) -> asyncio.StreamWriter:
+        """Send a request and do not wait for the answer."""
         writer = await self._connect(address)
         lines = (
             'POST /x/y HTTP/1.1',
@@ -77,7 +81,7 @@
         return writer
 
 
-async def _end(writer: asyncio.StreamWriter) -> None:
+async def _close(writer: asyncio.StreamWriter) -> None:
     writer.close()
     with contextlib.suppress(ConnectionError):
         await writer.wait_closed()
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -1,12 +1,7 @@
-"""A request that ends the servers which run it.
-
-Ten model servers of eighteen ended within a quarter of a minute, each 80 to
-300 milliseconds after the same request had come to a gateway, each time under a
-new id.  Nothing that a gateway had learned of one try was known to the next:
-what it had sent was kept by id, so every try began with all servers before it,
-at each of the gateways.  What settled it: of eleven tries with one fingerprint
-nine have a line `attempt failed ... reason: closed, was_sent: true` in the same
-millisecond in which their server cut the five to eleven others that it had.
+"""Tests of requests that crash the servers which run them.
+
+Such a request must be recognised by its content, since callers repeat it under
+new ids and at other gateways, and must be quarantined after a few crashes.
 """
 
 import asyncio
@@ -39,19 +34,19 @@
 
 _SERVERS = 6
 _RUN_MS = 9000
-# Enough to see what comes late, and a second of what comes after.
-_SHORT_MS = 6500
-_CALM_AFTER_MS = 5000
-# How long after the third end a gateway may not know of it yet.
-_CONTACT_MS = 3000
+# Long enough for late crashes and one more second.
+_SHORT_RUN_MS = 6500
+_STEADY_AFTER_MS = 5000
+# How long after the third crash a gateway may not know of it yet.
+_PROPAGATION_MS = 3000
 _LATE_SENDS_MAX = 3
-# Three, one more under a try that decides, one under a try that crosses.
-_ENDS_MAX = 5
-_SERVED_PART = 0.9
+# Three, one under a trial, and one that runs at the same time elsewhere.
+_CRASHES_MAX = 5
+_SERVED_FRACTION = 0.9
 
 
 class CrashingCase(GatewayCase):
-    """Two gateways before six servers that end under one body."""
+    """Two gateways and six servers that crash under one body."""
 
     async def open_fleet(
         self, kind: str = IDEMPOTENT, **row: Any
@@ -63,9 +58,9 @@
         )
         for server in fleet.servers:
             server.is_stream = kind == STREAM
-        return fleet, await self.start_both()
+        return fleet, await self.start_gateways()
 
-    async def start_both(self) -> list[RunningGateway]:
+    async def start_gateways(self) -> list[RunningGateway]:
         """Start two gateways, which end with `gateways_stack`."""
         self.gateways_stack = await self.stack.enter_async_context(
             AsyncExitStack()
@@ -88,112 +83,108 @@
         *extra: tuple[bytes, int],
         for_ms: int = _RUN_MS,
     ) -> int:
-        """Bring 20 sound requests a second and others; give the start."""
+        """Send 20 harmless requests a second and others; return the start."""
         since_ms = fleet.clock.now()
-        addresses = [one.components.settings.listen for one in gateways]
+        addresses = [gateway.components.settings.listen for gateway in gateways]
         async with asyncio.TaskGroup() as group:
             group.create_task(
-                fleet.keep_asking(addresses, _make_sound, 50, for_ms)
+                fleet.keep_asking(addresses, _make_harmless_body, 50, for_ms)
             )
             for body, every_ms in extra:
                 group.create_task(
                     fleet.keep_asking(
-                        addresses, _repeat(body), every_ms, for_ms
+                        addresses, _same_body(body), every_ms, for_ms
                     )
                 )
         return since_ms
 
 
 class CrashingRequestTest(CrashingCase):
-    """One body ends its server, and comes each quarter of a second."""
+    """A body that crashes its server is sent every 250 ms."""
 
-    async def test_is_sent_no_more_where_it_may_be_repeated(self) -> None:
-        """On a route whose requests may be sent a second time."""
+    async def test_quarantine_of_idempotent_requests(self) -> None:
+        """On a route whose requests may be repeated."""
         await self._check_kind(IDEMPOTENT)
 
-    async def test_is_sent_no_more_where_it_may_run_once(self) -> None:
-        """On a route whose requests may run once."""
+    async def test_quarantine_of_requests_that_may_run_once(self) -> None:
+        """On a route whose requests may run only once."""
         await self._check_kind(ONCE)
 
-    async def test_is_sent_no_more_where_it_is_a_stream(self) -> None:
-        """Its caller has an event when the server ends."""
+    async def test_quarantine_of_streams(self) -> None:
+        """The caller has received an event when the server crashes."""
         await self._check_kind(STREAM)
 
-    async def test_many_callers_at_the_same_moment(self) -> None:
-        """Ten bring it together, time and again."""
+    async def test_many_callers_at_once(self) -> None:
+        """Ten callers send it at the same time, repeatedly."""
         fleet, gateways = await self.open_fleet()
         since_ms = await self.drive(
             fleet,
             gateways,
             *((CRASHING_BODY, 1500) for _ in range(10)),
-            for_ms=_SHORT_MS,
+            for_ms=_SHORT_RUN_MS,
         )
         self._check(fleet, since_ms)
 
-    async def test_gateways_that_start_anew_know_it(self) -> None:
-        """All are replaced once it is in quarantine; the store tells."""
+    async def test_restarted_gateways_load_the_quarantine(self) -> None:
+        """All gateways are replaced; the quarantine is in the store."""
         fleet, gateways = await self.open_fleet()
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=2000)
-        ends = len(fleet.ends_ms)
+        crashes_before = len(fleet.ends_ms)
         await self.gateways_stack.aclose()
-        gateways = await self.start_both()
-        await until_true(lambda: all(map(_knows_rows, gateways)))
+        gateways = await self.start_gateways()
+        await until_true(lambda: all(map(_has_quarantined_body, gateways)))
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=3000)
-        self.assertEqual(len(fleet.ends_ms), ends)
-
-    async def test_a_start_while_the_store_is_away(self) -> None:
-        """All are killed, and the store answers again only later.
+        self.assertEqual(len(fleet.ends_ms), crashes_before)
 
-        Five sends of the request came after its quarantine: two gateways had
-        read the configuration at once when the store was back and the trials
-        a second later (`trials not read ... answered 503`, then `ready`, then
-        `attempt failed` on four servers).
-        """
+    async def test_restart_during_a_store_outage(self) -> None:
+        """Requests wait until the trials are loaded, not the configuration."""
         fleet, gateways = await self.open_fleet()
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=2000)
-        ends = len(fleet.ends_ms)
+        crashes_before = len(fleet.ends_ms)
         await self.gateways_stack.aclose()
         self.store.is_down = True
-        starts = asyncio.create_task(self.start_both())
+        starting = asyncio.create_task(self.start_gateways())
         await asyncio.sleep(1.7)
         self.store.is_down = False
-        gateways = await starts
+        gateways = await starting
         await self.drive(fleet, gateways, (CRASHING_BODY, 50), for_ms=1500)
-        self.assertEqual(len(fleet.ends_ms), ends)
+        self.assertEqual(len(fleet.ends_ms), crashes_before)
 
-    async def test_a_gateway_that_was_cut_off_hears_of_it(self) -> None:
-        """The others tell it for as long as the quarantine lasts."""
+    async def test_isolated_gateway_learns_of_the_quarantine(self) -> None:
+        """Crash reports are repeated as long as the quarantine lasts."""
         fleet, gateways = await self.open_fleet()
-        first, second = (one.components for one in gateways)
-        hear = second.peers.apply_heartbeat
+        first, second = (gateway.components for gateway in gateways)
+        apply_heartbeat = second.peers.apply_heartbeat
         with patch.object(second.peers, 'apply_heartbeat', lambda told: False):
             await self.drive(
                 fleet, gateways[:1], (CRASHING_BODY, 250), for_ms=7000
             )
         self.assertEqual(second.quarantine.suspects.list_crash_reports(), [])
         self.assertTrue(first.quarantine.suspects.list_crash_reports())
-        self.assertTrue(hear)
-        ends = len(fleet.ends_ms)
+        self.assertTrue(apply_heartbeat)
+        crashes_before = len(fleet.ends_ms)
         await until_true(second.quarantine.suspects.list_crash_reports)
         await self.drive(fleet, gateways[1:], (CRASHING_BODY, 250), for_ms=1500)
-        self.assertEqual(len(fleet.ends_ms), ends)
+        self.assertEqual(len(fleet.ends_ms), crashes_before)
 
-    async def test_sound_requests_beside_it_are_served(self) -> None:
-        """Twenty run on each server when it ends; all get their answers."""
+    async def test_requests_on_a_crashed_server_are_retried(self) -> None:
+        """Twenty harmless requests on each server are all answered."""
         fleet, gateways = await self.open_fleet(slots=64)
         fleet.patience_ms = 4000
         for server in fleet.servers:
             server.run_ms = 800
-        addresses = [one.components.settings.listen for one in gateways]
-        bodies = [_make_sound(number) for number in range(20 * _SERVERS)]
+        addresses = [gateway.components.settings.listen for gateway in gateways]
+        bodies = [
+            _make_harmless_body(number) for number in range(20 * _SERVERS)
+        ]
         asked = []
         for body in bodies:
             asked.append(asyncio.create_task(fleet.ask(addresses[0], body)))
             await asyncio.sleep(0.004)
         await fleet.ask(addresses[0], CRASHING_BODY)
-        statuses = [await one for one in asked]
+        statuses = [await request for request in asked]
         answered = statuses.count(HTTPStatus.OK)
-        self.assertGreaterEqual(answered, _SERVED_PART * len(asked))
+        self.assertGreaterEqual(answered, _SERVED_FRACTION * len(asked))
         for server in fleet.servers:
             server.run_ms = 50
         for body, status in zip(bodies, statuses, strict=True):
@@ -201,16 +192,16 @@
                 again = await fleet.ask(addresses[1], body)
                 self.assertEqual(again, HTTPStatus.OK)
 
-    async def test_a_request_that_is_harmless_again(self) -> None:
-        """The next trial serves it, and lifts the quarantine everywhere."""
+    async def test_quarantine_ends_when_a_trial_succeeds(self) -> None:
+        """At all gateways and in the store."""
         pauses_ms = (0, 1000, 60_000)
         with patch.object(trials, 'TRIAL_PAUSES_MS', pauses_ms):
             fleet, gateways = await self.open_fleet()
             await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=900)
-            ends = len(fleet.ends_ms)
+            crashes_before = len(fleet.ends_ms)
             fleet.deadly = _never
             await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=3000)
-        self.assertEqual(len(fleet.ends_ms), ends)
+        self.assertEqual(len(fleet.ends_ms), crashes_before)
         for gateway in gateways:
             self.assertEqual(len(gateway.components.quarantine.suspects), 0)
             status = await fleet.ask(
@@ -219,16 +210,16 @@
             self.assertEqual(status, HTTPStatus.OK)
         self.assertTrue(is_quarantine_empty(self.store))
 
-    async def test_nothing_is_tried_while_the_store_is_away(self) -> None:
-        """Without leave it waits, and other work is served."""
+    async def test_no_trial_without_the_store(self) -> None:
+        """A trial needs a row in the store; other requests are served."""
         fleet, gateways = await self.open_fleet()
         self.store.is_down = True
         since_ms = await self.drive(
             fleet, gateways, (CRASHING_BODY, 250), for_ms=2500
         )
-        # One, and one under a copy at each of the two gateways.
+        # One, and at most one more at each of the two gateways.
         self.assertLessEqual(len(fleet.ends_ms), 3)
-        self.assertGreaterEqual(fleet.served_part(since_ms), _SERVED_PART)
+        self.assertGreaterEqual(fleet.served_part(since_ms), _SERVED_FRACTION)
 
     async def _check_kind(self, kind: str) -> None:
         fleet, gateways = await self.open_fleet(kind)
@@ -237,55 +228,57 @@
 
     def _check(self, fleet: CrashingFleet, since_ms: int) -> None:
         self.assertLessEqual(
-            fleet.count_late_sends(_CONTACT_MS), _LATE_SENDS_MAX
+            fleet.count_late_sends(_PROPAGATION_MS), _LATE_SENDS_MAX
         )
-        self.assertLessEqual(len(fleet.ends_ms), _ENDS_MAX)
-        served = fleet.served_part(since_ms + _CALM_AFTER_MS)
-        self.assertGreaterEqual(served, _SERVED_PART)
+        self.assertLessEqual(len(fleet.ends_ms), _CRASHES_MAX)
+        served = fleet.served_part(since_ms + _STEADY_AFTER_MS)
+        self.assertGreaterEqual(served, _SERVED_FRACTION)
 
 
-class SoundRequestTest(CrashingCase):
-    """Servers end or fail, and no request is the cause."""
+class HarmlessRequestTest(CrashingCase):
+    """Servers crash or fail independently of the requests."""
 
-    async def test_popular_body_is_served_while_servers_end(self) -> None:
-        """Half of all work asks the same; servers end each second."""
+    async def test_popular_body_is_served_while_servers_crash(self) -> None:
+        """Half of all requests have one body; servers crash each second."""
         fleet, gateways = await self.open_fleet()
         crashes = asyncio.create_task(_crash_in_turn(fleet))
         self.addCleanup(crashes.cancel)
         since_ms = await self.drive(
-            fleet, gateways, (b'popular', 50), for_ms=_SHORT_MS
+            fleet, gateways, (b'popular', 50), for_ms=_SHORT_RUN_MS
         )
         self.assertGreaterEqual(len(fleet.ends_ms), 5)
-        served = fleet.served_part(since_ms + _CALM_AFTER_MS)
+        served = fleet.served_part(since_ms + _STEADY_AFTER_MS)
         self.assertEqual(served, 1)
 
-    async def test_popular_body_is_served_beside_a_bad_server(self) -> None:
-        """One server of six resets whatever it has run, and lives on."""
+    async def test_popular_body_is_served_beside_a_faulty_server(self) -> None:
+        """One server of six resets all its connections."""
         fleet, gateways = await self.open_fleet()
         fleet.servers[0].resets = True
         since_ms = await self.drive(
-            fleet, gateways, (b'popular', 50), for_ms=_SHORT_MS
+            fleet, gateways, (b'popular', 50), for_ms=_SHORT_RUN_MS
         )
-        served = fleet.served_part(since_ms + _CALM_AFTER_MS)
+        served = fleet.served_part(since_ms + _STEADY_AFTER_MS)
         self.assertEqual(served, 1)
 
 
 def _is_up(gateway: RunningGateway) -> bool:
     components = gateway.components
-    is_known = (
+    is_complete = (
         len(components.backends) == _SERVERS and components.peers.count == 2
     )
     return (
-        components.is_ready and components.web.admission.is_proved and is_known
+        components.is_ready
+        and components.web.admission.is_proved
+        and is_complete
     )
 
 
-def _knows_rows(gateway: RunningGateway) -> bool:
+def _has_quarantined_body(gateway: RunningGateway) -> bool:
     known = gateway.components.quarantine.trials
-    return known.is_quarantined(_hash_name(CRASHING_BODY))
+    return known.is_quarantined(_fingerprint_of(CRASHING_BODY))
 
 
-def _hash_name(body: bytes) -> int:
+def _fingerprint_of(body: bytes) -> int:
     return fingerprint(b'POST', HOST.encode(), b'/x/y', TENANT, body)
 
 
@@ -293,11 +286,11 @@
     return False
 
 
-def _make_sound(number: int) -> bytes:
+def _make_harmless_body(number: int) -> bytes:
     return b'sound %d' % number
 
 
-def _repeat(body: bytes):  # type: ignore[no-untyped-def]
+def _same_body(body: bytes):  # type: ignore[no-untyped-def]
     return lambda number: body
 
 
--- a/seampond/gateway/tests/test_draining.py
+++ b/seampond/gateway/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Leaves: of servers, with a word or without one, and of gateways."""
+"""Tests of draining servers and of gateways that stop as planned."""
 
 import asyncio
 from contextlib import suppress
@@ -17,19 +17,21 @@
 
 _DRAIN_MS = 600
 _LONG_DRAIN_MS = 60_000
-# Less than the target of the route and the margin of a stop.
+# Shorter than the target latency of the route plus the stop margin.
 _SHORT_STOP_MS = 1200
 
 
-class LeaveTest(GatewayCase):
-    """One server before one gateway."""
+class ServerDrainTest(GatewayCase):
+    """One gateway and one server."""
 
-    async def test_a_word_binds_while_the_store_is_away(self) -> None:
-        """Who has heard of a leave sends nothing more, store or no store."""
+    async def test_draining_server_gets_nothing_without_the_store(self) -> None:
+        """A store outage does not undo the draining."""
         gateway = await self.start_ready()
         backends = gateway.components.backends
         self.list_server(state='draining')
-        await until_true(lambda: not any(one.takes_work for one in backends))
+        await until_true(
+            lambda: not any(backend.takes_work for backend in backends)
+        )
         self.store.is_down = True
         for _ in range(3):
             response = await self.ask(gateway)
@@ -38,45 +40,53 @@
             )
         self.assertEqual(self.server.received, [])
 
-    async def test_a_row_that_went_without_a_word_is_a_fallback(self) -> None:
-        """It may have lapsed; for a part of the time to drain it serves."""
+    async def test_server_without_a_row_is_a_fallback(self) -> None:
+        """Its row may have lapsed, so it serves for part of the drain time."""
         bounds = BoundSettings(drain_ms=_LONG_DRAIN_MS)
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
         backends = gateway.components.backends
-        await until_true(lambda: not any(one.takes_work for one in backends))
+        await until_true(
+            lambda: not any(backend.takes_work for backend in backends)
+        )
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, HTTPStatus.OK)
 
-    async def test_a_row_that_stays_away_is_a_leave(self) -> None:
-        """Before the time to drain is over nothing more is sent there."""
+    async def test_server_whose_row_stays_away_is_drained(self) -> None:
+        """Nothing is sent to it once the drain time is over."""
         bounds = BoundSettings(drain_ms=_DRAIN_MS)
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
         backends = gateway.components.backends
         clock = gateway.components.clock
-        await until_true(lambda: not any(one.takes_work for one in backends))
+        await until_true(
+            lambda: not any(backend.takes_work for backend in backends)
+        )
         await clock.sleep(_DRAIN_MS)
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, HTTPStatus.SERVICE_UNAVAILABLE)
         self.assertEqual(self.server.received, [])
 
-    async def test_a_row_that_comes_back_is_served_again(self) -> None:
-        """A lapse while the store was away ends with the row's return."""
+    async def test_server_whose_row_returns_is_used_again(self) -> None:
+        """For example after a lapse during a store outage."""
         bounds = BoundSettings(drain_ms=_DRAIN_MS)
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
         backends = gateway.components.backends
-        await until_true(lambda: not any(one.takes_work for one in backends))
+        await until_true(
+            lambda: not any(backend.takes_work for backend in backends)
+        )
         await gateway.components.clock.sleep(_DRAIN_MS)
         self.list_server()
-        await until_true(lambda: any(one.takes_work for one in backends))
+        await until_true(
+            lambda: any(backend.takes_work for backend in backends)
+        )
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, HTTPStatus.OK)
 
 
 class StopTest(GatewayCase):
-    """A gateway whose planned stop lasts, since a request is at work."""
+    """A gateway that is stopping while a request is open."""
 
     async def asyncSetUp(self) -> None:
         """Hold the first request until it is released."""
@@ -86,13 +96,13 @@
     async def serve(
         self, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer all but the first at once."""
+        """Answer all requests but the first at once."""
         if request.get(ID_HEADER) == 'r1':
             await self.release.wait()
         await super().serve(request, writer)
 
-    async def test_who_comes_meanwhile_is_answered(self) -> None:
-        """Where all gateways stop, callers are still sent to each of them."""
+    async def test_stopping_gateway_answers_new_callers(self) -> None:
+        """If all gateways stop, callers still reach them."""
         gateway = await self.start_ready()
         asked = asyncio.create_task(self.ask(gateway))
         await until_true(lambda: len(self.server.received) == 1)
@@ -109,8 +119,8 @@
         await stopped
         self.assertIn(status, (HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE))
 
-    async def test_what_would_be_broken_off_is_refused(self) -> None:
-        """A stream that cannot end in time goes elsewhere; nothing has run."""
+    async def test_request_that_cannot_finish_is_refused(self) -> None:
+        """A request that cannot end in time must not be started."""
         bounds = BoundSettings(stop_ms=_SHORT_STOP_MS)
         gateway = await self.start_ready(bounds=bounds)
         asked = asyncio.create_task(self.ask(gateway))
@@ -125,8 +135,8 @@
         self.assertEqual((await asked).status_code, HTTPStatus.OK)
         await stopped
 
-    async def test_a_late_stream_is_refused(self) -> None:
-        """Nobody knows how long it lasts; where nobody is ready, it waits."""
+    async def test_late_stream_is_refused(self) -> None:
+        """Its duration is unknown; the caller retries after the stop."""
         gateway = await self.start_ready()
         put_configuration(
             self.store, ConfigurationRow(version=2, kind='streaming')
--- a/seampond/gateway/tests/test_followers.py
+++ b/seampond/gateway/tests/test_followers.py
@@ -1,4 +1,4 @@
-"""What is believed after each answer of the store."""
+"""Tests of the server list after each answer of the store."""
 
 import json
 import unittest
@@ -31,7 +31,7 @@
     """The list of servers."""
 
     def setUp(self) -> None:
-        """Start with one server known."""
+        """Start with one server."""
         self.backends = build_backends([])
         scheduler = Scheduler(
             self.backends, ZONE, Clock(), lambda: 1, build_promises()
@@ -39,25 +39,25 @@
         self.follower = ServerFollower(self.backends, scheduler)
         self.follower.handle_page(_page(_row('i-1', 1), is_snapshot=True))
 
-    def test_row_that_went_and_came_back_is_there(self) -> None:
-        """Changes of one row in one answer count in their order."""
-        went = _row('i-1', 2, is_deleted=True)
-        self.follower.handle_page(_page(went, _row('i-1', 3)))
+    def test_row_removed_and_restored_in_one_answer(self) -> None:
+        """Changes of one row in one answer apply in order."""
+        removed = _row('i-1', 2, is_deleted=True)
+        self.follower.handle_page(_page(removed, _row('i-1', 3)))
         self.assertEqual(self._listed(), ['i-1'])
 
-    def test_row_that_came_and_went_is_gone(self) -> None:
-        """The last word counts."""
-        went = _row('i-2', 3, is_deleted=True)
-        self.follower.handle_page(_page(_row('i-2', 2), went))
+    def test_row_added_and_removed_in_one_answer(self) -> None:
+        """The last change counts."""
+        removed = _row('i-2', 3, is_deleted=True)
+        self.follower.handle_page(_page(_row('i-2', 2), removed))
         self.assertEqual(self._listed(), ['i-1'])
 
-    def test_whole_read_replaces_the_list(self) -> None:
-        """What a whole read does not hold is gone."""
+    def test_snapshot_replaces_the_list(self) -> None:
+        """Servers missing from a snapshot are removed."""
         self.follower.handle_page(_page(_row('i-2', 2), is_snapshot=True))
         self.assertEqual(self._listed(), ['i-2'])
 
-    def test_bad_row_harms_no_other(self) -> None:
-        """A row that cannot be read is passed over and told."""
+    def test_invalid_row_does_not_affect_others(self) -> None:
+        """It is logged and skipped."""
         with self.assertLogs('seampond.gateway.followers', 'ERROR'):
             self.follower.handle_page(
                 _page(Row('i-3', b'{', 2), _row('i-2', 3))
--- a/seampond/gateway/tests/test_freshness_metrics.py
+++ b/seampond/gateway/tests/test_freshness_metrics.py
@@ -1,4 +1,4 @@
-"""What metrics tell of how old and how complete a gateway's beliefs are."""
+"""Tests of the metrics of configuration age and missing rows."""
 
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.names import CONFIGURATION_TABLE
@@ -8,17 +8,17 @@
 _LATER_MS = 1_000_000_000
 
 
-class AgesTest(GatewayCase):
-    """One gateway whose store goes away."""
+class FreshnessMetricsTest(GatewayCase):
+    """One gateway that loses its store."""
 
-    async def test_a_gateway_that_is_behind_says_so(self) -> None:
-        """Its proof grows old; what it lacks and knows of has an age."""
+    async def test_stale_gateway_exports_its_lag(self) -> None:
+        """The proof ages, and the rows known to be missing have an age."""
         gateway = await self.start_ready()
         registry = gateway.components.metrics.registry
         labels = {'table': CONFIGURATION_TABLE}
 
-        def read(name: str, **words: str) -> float:
-            value = registry.get_sample_value(f'seampond_{name}', words)
+        def read(name: str, **labels: str) -> float:
+            value = registry.get_sample_value(f'seampond_{name}', labels)
             assert value is not None
             return value
 
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway before a stand-in store and scripted servers."""
+"""Tests of whole gateways with a stand-in store and scripted servers."""
 
 import asyncio
 import json
@@ -54,7 +54,7 @@
 
 
 def build_settings(store_address: str, **changes: Any) -> GatewaySettings:
-    """Give settings on free ports, with a short planned stop."""
+    """Return settings with free ports and a short planned stop."""
     # Not of the range from which callers' connections take theirs meanwhile.
     ports = [f'127.0.0.1:{port}' for port in islice(free_ports(), _PORTS)]
     content: dict[str, Any] = {
@@ -85,10 +85,10 @@
 
 
 class GatewayCase(unittest.IsolatedAsyncioTestCase):
-    """Opens a store, a server and a gateway."""
+    """Base that opens a store, a server and a gateway."""
 
     async def asyncSetUp(self) -> None:
-        """Open the store."""
+        """Open the store and the server."""
         self.stack = AsyncExitStack()
         self.addAsyncCleanup(self.stack.aclose)
         self.store: StandInStore = await self.stack.enter_async_context(
@@ -106,7 +106,7 @@
         await _serve(request, writer)
 
     def list_server(self, server_id: str = 'i-1', **changes: Any) -> None:
-        """Put the server on the list."""
+        """Write the server's row."""
         put_server(self.store, server_id, self.server.address, **changes)
 
     async def start(self, **changes: Any) -> RunningGateway:
@@ -149,7 +149,7 @@
         )
 
     async def send_chunked(self, target: str, chunks: bytes) -> Received:
-        """Send a body in chunks; give what the server got of the request."""
+        """Send a body in chunks; return the request that the server got."""
         gateway = await self.start_ready()
         host, _, port = gateway.components.settings.listen.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -186,22 +186,22 @@
         self.assertEqual(sent.get(TENANT_HEADER), TENANT)
         self.assertEqual(sent.get('authorization'), '')
 
-    async def test_chunked_body_arrives_whole(self) -> None:
-        """A body in chunks is sent on with its length."""
+    async def test_chunked_body_is_forwarded_whole(self) -> None:
+        """It is sent with its length."""
         chunks = b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n'
         sent = await self.send_chunked('/x//~a/%2f?q=&r', chunks)
         self.assertEqual(sent.target, b'/x//~a/%2f?q=&r')
         self.assertEqual(sent.body, b'abcde')
 
-    async def test_fields_behind_a_body_are_no_headers(self) -> None:
-        """A chunked body may end with fields; no server is told of them."""
+    async def test_trailers_are_not_forwarded(self) -> None:
+        """Fields after a chunked body must not become headers."""
         chunks = b'3\r\nabc\r\n0\r\nX-Late: 1\r\n\r\n'
         sent = await self.send_chunked('/x/y', chunks)
         self.assertEqual(sent.body, b'abc')
         self.assertEqual(sent.get('x-late'), '')
 
     async def test_answer_to_head_has_no_body(self) -> None:
-        """Its length is that of the answer to GET; nothing waits for it."""
+        """Its length is that of the answer to GET; no body is awaited."""
 
         async def answer_head(
             request: Received, writer: asyncio.StreamWriter
@@ -224,7 +224,7 @@
         self.assertEqual(response.headers['content-length'], '1234')
 
     async def test_traffic_is_split_by_weight(self) -> None:
-        """Each service gets its part; one of weight 0 gets nothing."""
+        """A service of weight 0 gets nothing."""
         row = ConfigurationRow(weights=(('s1', 1), ('s2', 0)))
         put_configuration(self.store, row)
         self.list_server()
@@ -234,7 +234,7 @@
         for _ in range(8):
             self.assertEqual((await self.ask(gateway)).status_code, 200)
 
-    async def test_gateways_know_each_other(self) -> None:
+    async def test_gateways_find_each_other(self) -> None:
         """By their rows, then by their heartbeats."""
         first = await self.start_ready()
         second = await self.start(name='g2')
@@ -242,8 +242,8 @@
         await until_true(lambda: all(one.all_reachable for one in peers))
         self.assertEqual([one.count for one in peers], [2, 2])
 
-    async def test_stopped_gateway_is_forgotten_at_once(self) -> None:
-        """Its last heartbeat and its row tell; a kill tells nothing."""
+    async def test_stopped_gateway_is_removed_at_once(self) -> None:
+        """By its last heartbeat and the removal of its row."""
         first = await self.start_ready()
         peers = first.components.peers
         settings = build_settings(self.store.address, name='g2')
@@ -254,8 +254,8 @@
         await until_true(lambda: peers.count == 1 and peers.all_reachable)
         self.assertTrue(is_gateway_removed(self.store, 'g2'))
 
-    async def test_refusals_before_any_server(self) -> None:
-        """No route, no key, a wrong key: each its status, nothing sent."""
+    async def test_refused_requests_reach_no_server(self) -> None:
+        """No route, no key, and an invalid key."""
         gateway = await self.start_ready()
         for path, key, status in (
             ('/y/', KEY, 404),
@@ -267,8 +267,8 @@
                 self.assertEqual(response.status_code, status)
         self.assertEqual(self.server.received, [])
 
-    async def test_without_a_configuration_nobody_is_denied(self) -> None:
-        """503 with the time to come back, and not ready."""
+    async def test_callers_retry_without_a_configuration(self) -> None:
+        """They get 503 with a retry time; the gateway is not ready."""
         gateway = await self.start()
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, 503)
@@ -276,7 +276,7 @@
         self.assertFalse(gateway.components.is_ready)
 
     async def test_new_configuration_is_in_force(self) -> None:
-        """A key that was taken away gets 401; an older version nothing."""
+        """A revoked key gets 401; an older version is ignored."""
         gateway = await self.start_ready()
         row = ConfigurationRow(version=3, keys=('k2',))
         put_configuration(self.store, row)
@@ -287,8 +287,8 @@
         self.assertEqual(gateway.components.web.admission.version, 3)
         self.assertEqual((await self.ask(gateway)).status_code, 401)
 
-    async def test_without_proof_no_key_is_served(self) -> None:
-        """A gateway that cannot ask the store stops in time."""
+    async def test_no_key_is_accepted_without_proof(self) -> None:
+        """A gateway cut off from the store stops serving in time."""
         bounds = BoundSettings(revoke_ms=900, proof_margin_ms=100)
         store = StoreSettings(address=self.store.address, wait_ms=200)
         gateway = await self.start_ready(bounds=bounds, store=store)
@@ -302,8 +302,8 @@
         await until_true(lambda: _age_ms(admission) < 800)
         self.assertEqual((await self.ask(gateway)).status_code, 200)
 
-    async def test_proof_of_another_gateway_counts(self) -> None:
-        """While it has seen no change that we lack; then it does not."""
+    async def test_proof_of_another_gateway_is_accepted(self) -> None:
+        """Only if this gateway has all changes that the proof covers."""
         gateway = await self.start_ready()
         put_gateway(self.store, 'g2')
         components, clock = gateway.components, self.store.clock
@@ -331,23 +331,29 @@
             is_younger = _age_ms(admission) < before_ms - 100
             self.assertEqual(is_younger, not newer)
 
-    async def test_draining_and_gone_servers_get_nothing(self) -> None:
-        """The list's word is heeded at once."""
+    async def test_draining_and_removed_servers_get_nothing(self) -> None:
+        """The list takes effect at once."""
         gateway = await self.start_ready()
         backends = gateway.components.backends
         self.list_server(state='draining')
-        await until_true(lambda: not any(one.takes_work for one in backends))
+        await until_true(
+            lambda: not any(backend.takes_work for backend in backends)
+        )
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, 503)
         self.list_server('i-2')
-        await until_true(lambda: any(one.takes_work for one in backends))
+        await until_true(
+            lambda: any(backend.takes_work for backend in backends)
+        )
         self.assertEqual((await self.ask(gateway)).status_code, 200)
         drop_server(self.store, 'i-2')
-        await until_true(lambda: not any(one.takes_work for one in backends))
+        await until_true(
+            lambda: not any(backend.takes_work for backend in backends)
+        )
         self.assertEqual(len(self.server.received), 1)
 
-    async def test_planned_stop_cuts_nothing(self) -> None:
-        """Not ready at once; what runs is answered; then no connection."""
+    async def test_planned_stop_finishes_open_requests(self) -> None:
+        """Not ready at once; connections are closed after the answers."""
         release = asyncio.Event()
 
         async def wait_then_serve(
@@ -368,8 +374,8 @@
         self.assertEqual(response.headers['connection'], 'close')
         await stopped
 
-    async def test_reload_takes_bounds_and_cuts_nothing(self) -> None:
-        """What changed is told and counts from now on."""
+    async def test_reload_applies_bounds(self) -> None:
+        """The changed keys are logged; requests go on."""
         gateway = await self.start_ready()
         before = gateway.components.settings
         bounds = msgspec.structs.replace(before.bounds, revoke_ms=3000)
@@ -383,8 +389,8 @@
         )
         self.assertEqual((await self.ask(gateway)).status_code, 200)
 
-    async def test_pages_for_balancer_and_operators(self) -> None:
-        """Ready, status and metrics on their own addresses."""
+    async def test_pages_for_load_balancer_and_operators(self) -> None:
+        """Readiness, status and metrics on their own addresses."""
         gateway = await self.start_ready()
         settings = gateway.components.settings
         for address, path in (
--- a/seampond/gateway/tests/test_limits.py
+++ b/seampond/gateway/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""How long a caller may take, and how many connections a server gets."""
+"""Tests of limits on callers and on connections to a server."""
 
 import asyncio
 from http import HTTPStatus
@@ -14,9 +14,9 @@
 from seampond.testing.gateways import until_true
 from seampond.testing.scripted import Received
 
-_SHORT_MS = 150
-_LONG_MS = 60_000
-_WAIT_SECONDS = 5
+_SHORT_TIMEOUT_MS = 150
+_LONG_TIMEOUT_MS = 60_000
+_TIMEOUT_S = 5
 _HEAD = (
     'POST /x/y HTTP/1.1\r\n'
     'Host: a.example\r\n'
@@ -26,10 +26,10 @@
 
 
 class LimitsTest(GatewayCase):
-    """Bounds of the configuration on callers."""
+    """Limits of the configuration."""
 
     async def start_limited(self, **limits: int) -> RunningGateway:
-        """Start a gateway whose configuration names these limits."""
+        """Start a gateway whose configuration has these limits."""
         gateway = await self.start_ready()
         row = ConfigurationRow(version=2, limits=limits)
         put_configuration(self.store, row)
@@ -48,13 +48,14 @@
 
     async def read_end(self, reader: asyncio.StreamReader) -> bytes:
         """Read until the gateway closes the connection."""
-        async with asyncio.timeout(_WAIT_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_S):
             return await reader.read()
 
     async def test_slow_head_is_refused(self) -> None:
         """A head that does not end in time gets 408 and a close."""
         gateway = await self.start_limited(
-            header_timeout_ms=_SHORT_MS, idle_timeout_ms=_LONG_MS
+            header_timeout_ms=_SHORT_TIMEOUT_MS,
+            idle_timeout_ms=_LONG_TIMEOUT_MS,
         )
         reader, _ = await self.send(gateway, _HEAD)
         answer = await self.read_end(reader)
@@ -62,23 +63,25 @@
         self.assertEqual(self.server.received, [])
 
     async def test_head_in_parts_is_served(self) -> None:
-        """A head that ends in time is no slow one, nor is what follows."""
+        """Neither it nor the next request counts as slow."""
         gateway = await self.start_limited(
-            header_timeout_ms=_SHORT_MS, idle_timeout_ms=_LONG_MS
+            header_timeout_ms=_SHORT_TIMEOUT_MS,
+            idle_timeout_ms=_LONG_TIMEOUT_MS,
         )
         reader, writer = await self.send(gateway, _HEAD)
         await asyncio.sleep(0)
         writer.write(b'Content-Length: 0\r\n\r\n')
-        async with asyncio.timeout(_WAIT_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_S):
             await reader.readuntil(b'whole')
-            await asyncio.sleep(2 * _SHORT_MS / 1000)
+            await asyncio.sleep(2 * _SHORT_TIMEOUT_MS / 1000)
             writer.write(f'{_HEAD}Content-Length: 0\r\n\r\n'.encode())
             await reader.readuntil(b'whole')
 
     async def test_stalled_body_is_refused(self) -> None:
-        """A body of which nothing more comes gets 408, was never sent."""
+        """A body that stops arriving gets 408 and is not forwarded."""
         gateway = await self.start_limited(
-            header_timeout_ms=_LONG_MS, idle_timeout_ms=_SHORT_MS
+            header_timeout_ms=_LONG_TIMEOUT_MS,
+            idle_timeout_ms=_SHORT_TIMEOUT_MS,
         )
         reader, _ = await self.send(
             gateway, f'{_HEAD}Content-Length: 9\r\n\r\nabc'
@@ -88,9 +91,10 @@
         self.assertEqual(self.server.received, [])
 
     async def test_idle_connection_is_closed(self) -> None:
-        """After the idle time of the configuration, and not before."""
+        """After the configured idle time, not before."""
         gateway = await self.start_limited(
-            header_timeout_ms=_LONG_MS, idle_timeout_ms=_SHORT_MS
+            header_timeout_ms=_LONG_TIMEOUT_MS,
+            idle_timeout_ms=_SHORT_TIMEOUT_MS,
         )
         reader, _ = await self.send(
             gateway, f'{_HEAD}Content-Length: 0\r\n\r\n'
@@ -99,7 +103,7 @@
         self.assertTrue(answer.endswith(b'whole'), answer)
 
     async def test_connections_to_a_server_are_bounded(self) -> None:
-        """Gateways keep to their part of what a server accepts."""
+        """Each gateway keeps to its share of the pool's limit."""
         release = asyncio.Event()
 
         async def hold(request: Received, writer: asyncio.StreamWriter) -> None:
--- a/seampond/gateway/tests/test_process.py
+++ b/seampond/gateway/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The daemon as a process: signals, bad settings."""
+"""Tests of the daemon as a process: signals and invalid settings."""
 
 import asyncio
 import signal
@@ -30,10 +30,10 @@
 
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
-    """One process before a stand-in store."""
+    """One process with a stand-in for the store."""
 
-    async def test_reload_bad_settings_and_stop(self) -> None:
-        """SIGHUP tells what changed, keeps the old for bad; SIGTERM ends."""
+    async def test_reload_and_stop(self) -> None:
+        """SIGHUP reloads, or keeps the old settings; SIGTERM stops."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'gateway.toml'
             async with self._started(path) as process:
@@ -49,8 +49,8 @@
                 await self._line_with(process, '"stopped"')
                 self.assertEqual(await process.wait(), 0)
 
-    async def test_bad_settings_at_the_start(self) -> None:
-        """Exit status 2 and the key, without a traceback."""
+    async def test_start_with_invalid_settings(self) -> None:
+        """Exit status 2 and a message with the key, no traceback."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'gateway.toml'
             path.write_text('[gateway]\nname = "g"\nzones = "a"\n')
@@ -61,10 +61,10 @@
                 str(path),
                 stderr=asyncio.subprocess.PIPE,
             )
-            _, told = await process.communicate()
+            _, stderr = await process.communicate()
         self.assertEqual(process.returncode, 2)
-        self.assertIn(b'zones: unknown key', told)
-        self.assertNotIn(b'Traceback', told)
+        self.assertIn(b'zones: unknown key', stderr)
+        self.assertNotIn(b'Traceback', stderr)
 
     def _write(self, path: Path, revoke_ms: str) -> None:
         path.write_text(
@@ -96,12 +96,12 @@
                 await process.wait()
 
     async def _line_with(
-        self, process: asyncio.subprocess.Process, word: str
+        self, process: asyncio.subprocess.Process, text: str
     ) -> str:
         assert process.stdout is not None
         async with asyncio.timeout(60):
             while True:
                 line = (await process.stdout.readline()).decode()
-                if word in line:
+                if text in line:
                     return line
-                self.assertTrue(line, f'ended before {word}')
+                self.assertTrue(line, f'ended before {text}')
--- a/seampond/gateway/tests/test_relaying.py
+++ b/seampond/gateway/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""What a few gateways read of the store reaches the others."""
+"""Tests of relaying rows of the store between gateways."""
 
 import json
 
@@ -14,11 +14,11 @@
 _LARGE_BYTES = 20_000
 
 
-class PassingOnTest(GatewayCase):
-    """A gateway among others that come before it."""
+class RelayingTest(GatewayCase):
+    """A gateway that starts after many others."""
 
-    async def start_late(self) -> RunningGateway:
-        """Start one that has heard of enough others to follow nothing."""
+    async def start_after_others(self) -> RunningGateway:
+        """Start a gateway that need not follow tables itself."""
         gateway = await self.start_ready()
         names = [f'peer-{number}' for number in range(_OTHERS)]
         for name in names:
@@ -30,9 +30,9 @@
         self.assertFalse(peers.is_follower)
         return gateway
 
-    async def test_a_server_is_known_without_a_call(self) -> None:
+    async def test_server_is_learned_from_a_heartbeat(self) -> None:
         """Its row comes with another gateway's heartbeat."""
-        gateway = await self.start_late()
+        gateway = await self.start_after_others()
         components = gateway.components
         watch = components.watches[SERVERS_TABLE]
         await until_true(lambda: not watch.is_unconfirmed)
@@ -49,21 +49,23 @@
             hash_name(SERVERS_TABLE), since, since + 1, 1, (row,)
         )
         components.handle_heartbeat(Heartbeat('peer-1', 1, 2, pages=(page,)))
-        known = components.backends.get('i-9')
-        assert known is not None
-        self.assertTrue(known.takes_work)
+        backend = components.backends.get('i-9')
+        assert backend is not None
+        self.assertTrue(backend.takes_work)
 
-    async def test_what_was_read_is_told_once(self) -> None:
-        """Rows go with the next heartbeat to all, at once, and no later one."""
+    async def test_rows_are_relayed_once(self) -> None:
+        """In a heartbeat that is sent at once, unless they are too large."""
         gateway = await self.start_ready()
         components = gateway.components
         components.record_heartbeat_sent()
         components.is_heartbeat_due.clear()
-        for size, told in ((100, 1), (_LARGE_BYTES, 0)):
+        for size, relayed_pages in ((100, 1), (_LARGE_BYTES, 0)):
             row = Row('i-9', b'x' * size, 8)
             page = Page((row,), 9, 1, 0, 0, is_snapshot=False)
             components.relay(SERVERS_TABLE, 7, page)
             self.assertTrue(components.is_heartbeat_due.is_set())
-            self.assertEqual(len(components.make_heartbeat(1).pages), told)
+            self.assertEqual(
+                len(components.make_heartbeat(1).pages), relayed_pages
+            )
             components.record_heartbeat_sent()
             self.assertEqual(components.make_heartbeat(2).pages, ())
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs by whole gateways before a stand-in store and real servers."""
+"""Tests of rollouts by whole gateways with a stand-in for the store."""
 
 import asyncio
 import itertools
@@ -31,13 +31,13 @@
 
 _OLD, _NEW = 'v1', 'v2'
 _DURATION_S = 4
-_MOST_S = 20
-_GAP_S = 0.02
+_TIMEOUT_S = 20
+_REQUEST_INTERVAL_S = 0.02
 _MANY_SLOTS = 50
 
 
-def _is_heard(gateway: RunningGateway) -> bool:
-    """Tell whether a gateway is ready and hears the other one."""
+def _is_connected(gateway: RunningGateway) -> bool:
+    """Return True if a gateway is ready and receives heartbeats."""
     components = gateway.components
     return (
         components.is_ready
@@ -47,10 +47,10 @@
 
 
 class RolloutTest(GatewayCase):
-    """Two gateways, one server of each version, callers all the time."""
+    """Two gateways, a server of each version, and constant requests."""
 
     async def asyncSetUp(self) -> None:
-        """Start all of them; both versions answer well."""
+        """Start all of them; both versions answer correctly."""
         await super().asyncSetUp()
         self.new_status = HTTPStatus.OK
         self.new_delay_s: float = 0
@@ -71,26 +71,26 @@
 
     @property
     def running(self) -> list[Rollout]:
-        """What each gateway carries out."""
+        """The rollouts in progress at all gateways."""
         return [
-            one
+            rollout
             for gateway in self.gateways
-            for one in gateway.components.rollout_follower.manager.running
+            for rollout in gateway.components.rollout_follower.manager.running
         ]
 
     async def start_fleet(self) -> None:
-        """Start both gateways and wait until they hear each other."""
+        """Start both gateways and wait until they are connected."""
         for name in ('g1', 'g2'):
             settings = build_settings(self.store.address, name=name)
             running = run_gateway(settings, Clock())
             gateway = await self.fleet.enter_async_context(running)
             self.gateways.append(gateway)
-        await until_true(lambda: all(map(_is_heard, self.gateways)))
+        await until_true(lambda: all(map(_is_connected, self.gateways)))
 
     async def serve(
         self, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer as the old version; hold one request as long as is wanted."""
+        """Answer as the old version; hold one request if requested."""
         if self.is_held:
             self.is_held = False
             await self.held.wait()
@@ -104,7 +104,7 @@
         self._answer(request, writer, self.new_status)
 
     async def call(self) -> None:
-        """Ask both gateways in turn; note each status."""
+        """Send requests to both gateways in turn; record each status."""
         asked: set[asyncio.Task[None]] = set()
         try:
             while True:
@@ -112,13 +112,13 @@
                     task = asyncio.create_task(self._call_one(gateway))
                     asked.add(task)
                     task.add_done_callback(asked.discard)
-                await asyncio.sleep(_GAP_S)
+                await asyncio.sleep(_REQUEST_INTERVAL_S)
         finally:
             for task in tuple(asked):
                 task.cancel()
 
-    def order(self) -> None:
-        """Order the new version, whose server starts beside the old one."""
+    def order_rollout(self) -> None:
+        """Start a server of the new version and order the rollout."""
         put_server(
             self.store,
             'i-2',
@@ -129,33 +129,37 @@
         put_order(self.store, _NEW, _DURATION_S)
 
     async def until_state(self, state: str) -> None:
-        """Wait until the store says how the order ended."""
+        """Wait until the store has this state of the order."""
         await until_true(
-            lambda: read_state(self.store) == (state, _NEW), _MOST_S
+            lambda: read_state(self.store) == (state, _NEW), _TIMEOUT_S
         )
 
-    async def test_good_version_takes_all_before_the_old_one_stops(
+    async def test_good_version_replaces_the_old_one(
         self,
     ) -> None:
-        """And never while a request is open on the old one."""
+        """Not done while a request is open on the old version."""
         await asyncio.sleep(0.5)
-        self.order()
+        self.order_rollout()
         await self.until_state('running')
         await until_true(
-            lambda: any(one.proved_ms is not None for one in self.running),
-            _MOST_S,
+            lambda: any(
+                rollout.proved_ms is not None for rollout in self.running
+            ),
+            _TIMEOUT_S,
         )
         self.is_held = True
         await until_true(
-            lambda: any(one.stage is Stage.closed for one in self.running),
-            _MOST_S,
+            lambda: any(
+                rollout.stage is Stage.closed for rollout in self.running
+            ),
+            _TIMEOUT_S,
         )
         self.assertFalse(self.is_held)
         await asyncio.sleep(1.5)
         self.assertEqual(read_state(self.store)[0], 'running')
         self.held.set()
         await self.until_state('done')
-        # The old servers stop at once.
+        # The old server stops at once.
         drop_server(self.store, 'i-1')
         before = len(self.server.received)
         self.answers.clear()
@@ -164,10 +168,10 @@
         self.assertEqual(len(self.server.received), before)
 
     async def test_failing_version_is_rolled_back(self) -> None:
-        """Few meet it, and nobody once it is known."""
+        """Few requests reach it, and none once the failure is known."""
         self.new_status = HTTPStatus.INTERNAL_SERVER_ERROR
         await asyncio.sleep(0.5)
-        self.order()
+        self.order_rollout()
         await self.until_state('rolled_back')
         exposed = len(self.new_server.received)
         self.assertLess(exposed, 15)
@@ -177,32 +181,34 @@
         self.assertEqual(set(self.answers), {200})
 
     async def test_slow_version_is_rolled_back(self) -> None:
-        """Against what the old one takes on the same route."""
+        """Compared with the old version on the same route."""
         await asyncio.sleep(1)
         self.new_delay_s = 0.4
-        self.order()
+        self.order_rollout()
         await self.until_state('rolled_back')
 
-    async def test_version_that_turns_bad_is_rolled_back(self) -> None:
-        """Once it has more of the traffic."""
+    async def test_version_that_fails_later_is_rolled_back(self) -> None:
+        """Once it gets a larger share of the requests."""
         await asyncio.sleep(0.5)
-        self.order()
+        self.order_rollout()
         await until_true(
-            lambda: any(one.proved_ms is not None for one in self.running),
-            _MOST_S,
+            lambda: any(
+                rollout.proved_ms is not None for rollout in self.running
+            ),
+            _TIMEOUT_S,
         )
         self.new_status = HTTPStatus.INTERNAL_SERVER_ERROR
         await self.until_state('rolled_back')
 
-    async def test_order_taken_back_is_rolled_back(self) -> None:
+    async def test_withdrawn_order_is_rolled_back(self) -> None:
         """At once."""
-        self.order()
+        self.order_rollout()
         await self.until_state('running')
         drop_order(self.store)
         await self.until_state('rolled_back')
 
-    async def test_bad_order_is_refused_and_nothing_else(self) -> None:
-        """Callers notice nothing."""
+    async def test_invalid_order_is_ignored(self) -> None:
+        """Callers are not affected."""
         with self.assertLogs('seampond.gateway.rollouts', 'ERROR') as logs:
             put_order(self.store, '', _DURATION_S)
             put_order(self.store, _NEW, -1)
@@ -213,23 +219,26 @@
         await until_true(lambda: len(self.answers) > 10)
         self.assertEqual(set(self.answers), {200})
 
-    async def test_order_outlives_all_gateways(self) -> None:
-        """They end in the middle; those that start find it in the store."""
-        self.order()
+    async def test_order_continues_after_a_restart_of_all_gateways(
+        self,
+    ) -> None:
+        """The new gateways read it from the store."""
+        self.order_rollout()
         await self.until_state('running')
         self.gateways.clear()
         await self.fleet.aclose()
         await self.start_fleet()
         await self.until_state('done')
 
-    async def test_store_that_is_down_stops_no_refusal(self) -> None:
-        """The others hear of it at once; the store as soon as it can."""
-        self.order()
+    async def test_version_is_rejected_without_the_store(self) -> None:
+        """Gateways tell each other; the store is updated later."""
+        self.order_rollout()
         await self.until_state('running')
         self.store.is_down = True
         self.new_status = HTTPStatus.INTERNAL_SERVER_ERROR
         await until_true(
-            lambda: all(one.is_rejected for one in self.running), _MOST_S
+            lambda: all(rollout.is_rejected for rollout in self.running),
+            _TIMEOUT_S,
         )
         self.assertEqual(read_state(self.store)[0], 'running')
         self.store.is_down = False
@@ -237,7 +246,7 @@
 
     async def _call_one(self, gateway: RunningGateway) -> None:
         number = next(self.numbers)
-        # Where a gateway has ended, callers find nobody.
+        # A gateway may have stopped.
         with suppress(ConnectionError):
             response = await self.ask(gateway, request_id=f'r{number}')
             self.answers.append(response.status_code)
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -1,10 +1,7 @@
-"""Rows that another writer has left in the tables that a gateway follows.
+"""Tests of invalid rows in the tables that a gateway follows.
 
-A gateway that had read one row nested a thousand levels deep, or one with a
-number beyond all bounds, served on with the servers that it knew and never
-learned of another: the error ended the task that follows the list.  Of 32 rows
-with a field missing, of another type or of no known word 20 were taken as
-servers, and requests went to addresses where nobody listens.
+An invalid row must neither stop the task that follows its table nor be taken
+for a server, whatever its bytes are.
 """
 
 import json
@@ -31,7 +28,7 @@
 from seampond.testing.gateways import ZONE, build_backends, pick, until_true
 from seampond.watches import Page, Row
 
-_GOOD: MappingProxyType[str, Any] = MappingProxyType(
+_VALID: MappingProxyType[str, Any] = MappingProxyType(
     {
         'service': 's1',
         'address': '10.0.0.1:80',
@@ -77,7 +74,7 @@
     {'born': '1780000000000'},
     {'born': True},
 )
-_RAW = (
+_MALFORMED = (
     b'',
     b'{',
     b'null',
@@ -88,10 +85,10 @@
     b'[' * 100_000,
     b'{"a":' * 100_000,
     b'{"service": "s1", "x": %b}' % (b'[' * 100_000),
-    json.dumps({**_GOOD}).encode().replace(b'2', b'1e999', 1),
-    json.dumps(_GOOD | {'slots': 0}).encode().replace(b' 0,', b' 1e400,', 1),
-    json.dumps(_GOOD | {'slots': 10**400}).encode(),
-    json.dumps(_GOOD | {'cold-left-ms': 10**400}).encode(),
+    json.dumps({**_VALID}).encode().replace(b'2', b'1e999', 1),
+    json.dumps(_VALID | {'slots': 0}).encode().replace(b' 0,', b' 1e400,', 1),
+    json.dumps(_VALID | {'slots': 10**400}).encode(),
+    json.dumps(_VALID | {'cold-left-ms': 10**400}).encode(),
     b'\x00' * 70_000,
 )
 
@@ -100,16 +97,16 @@
     return json.dumps(content).encode()
 
 
-def _list_bad() -> list[bytes]:
-    lacking = [
-        {name: told for name, told in _GOOD.items() if name != left_out}
-        for left_out in ('service', 'address', 'zone', 'slots', 'state')
+def _list_invalid() -> list[bytes]:
+    incomplete = [
+        {name: value for name, value in _VALID.items() if name != omitted}
+        for omitted in ('service', 'address', 'zone', 'slots', 'state')
     ]
-    changed = [_GOOD | change for change in _CHANGES]
-    return [*map(_encode, [*lacking, *changed]), *_RAW]
+    changed = [_VALID | change for change in _CHANGES]
+    return [*map(_encode, [*incomplete, *changed]), *_MALFORMED]
 
 
-_ANY = st.recursive(
+_ANY_JSON = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -124,48 +121,50 @@
 _ROWS = st.binary(max_size=60) | st.builds(
     _encode,
     st.dictionaries(
-        st.sampled_from((*_GOOD, 'limits', 'routes', 'other')), _ANY, max_size=9
-    ).map(lambda changes: _GOOD | changes),
+        st.sampled_from((*_VALID, 'limits', 'routes', 'other')),
+        _ANY_JSON,
+        max_size=9,
+    ).map(lambda changes: _VALID | changes),
 )
 
 
 class ServerRowTest(unittest.TestCase):
-    """The list of servers beside rows that name none."""
+    """The server list with invalid rows."""
 
     def setUp(self) -> None:
-        """Know one good server."""
+        """Start with one valid server."""
         self.backends = build_backends([])
         scheduler = Scheduler(
             self.backends, ZONE, Clock(), lambda: 1, build_promises()
         )
         self.follower = ServerFollower(self.backends, scheduler)
-        self._take(_encode({**_GOOD}))
+        self._take(_encode({**_VALID}))
 
-    def test_rows_that_name_no_server(self) -> None:
-        """A field missing or of another type, an unknown word, no JSON."""
-        for content in _list_bad():
+    def test_invalid_rows_are_rejected(self) -> None:
+        """Missing fields, wrong types, unknown states, malformed JSON."""
+        for content in _list_invalid():
             with self.subTest(content=content[:60]):
                 with self.assertRaises(PlatformError):
                     parse_server('i-9', content)
 
-    def test_good_server_whose_row_turns_bad(self) -> None:
-        """It gets nothing new, has not left, and is back with its next row."""
-        for content in _list_bad():
+    def test_server_whose_row_becomes_invalid(self) -> None:
+        """It gets no new requests until its row is valid again."""
+        for content in _list_invalid():
             self._take(content)
-            spoiled = pick(self.backends, 'i-1')
-            self.assertFalse(spoiled.takes_work)
-            self.assertFalse(spoiled.may_send(0))
-            self.assertTrue(spoiled.is_listed)
-            self._take(_encode({**_GOOD}))
+            invalid = pick(self.backends, 'i-1')
+            self.assertFalse(invalid.takes_work)
+            self.assertFalse(invalid.may_send(0))
+            self.assertTrue(invalid.is_listed)
+            self._take(_encode({**_VALID}))
             self.assertTrue(pick(self.backends, 'i-1').takes_work)
 
-    def test_spoiled_row_in_a_whole_read(self) -> None:
-        """Its server is not taken for one that has left."""
+    def test_invalid_row_in_a_snapshot(self) -> None:
+        """Its server is not taken for one that was removed."""
         row = Row('i-1', b'{', 3)
         self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_snapshot=True))
         self.assertTrue(pick(self.backends, 'i-1').is_listed)
 
-    def test_bad_row_is_told_once(self) -> None:
+    def test_invalid_row_is_logged_once(self) -> None:
         """However often it is written."""
         with self.assertLogs('seampond.gateway.followers', 'ERROR') as logs:
             for _ in range(5):
@@ -175,11 +174,15 @@
     @seed(11)
     @settings(max_examples=300, deadline=None)
     @given(st.lists(_ROWS, max_size=5))
-    def test_good_rows_hold_beside_any(self, told: list[bytes]) -> None:
-        """Whatever comes with them, in one answer."""
-        bad = [Row(f'b-{key}', content, 2) for key, content in enumerate(told)]
-        good = Row('i-2', _encode(_GOOD | {'address': '10.0.0.2:80'}), 3)
-        page = Page((*bad, good), 9, 0, 0, 0, is_snapshot=False)
+    def test_valid_rows_apply_beside_any_others(
+        self, raw_rows: list[bytes]
+    ) -> None:
+        """In the same answer."""
+        invalid_rows = [
+            Row(f'b-{key}', content, 2) for key, content in enumerate(raw_rows)
+        ]
+        valid = Row('i-2', _encode(_VALID | {'address': '10.0.0.2:80'}), 3)
+        page = Page((*invalid_rows, valid), 9, 0, 0, 0, is_snapshot=False)
         self.follower.handle_page(page)
         self.assertTrue(pick(self.backends, 'i-2').takes_work)
         self.assertTrue(pick(self.backends, 'i-1').takes_work)
@@ -190,50 +193,56 @@
 
 
 class OtherRowTest(unittest.TestCase):
-    """The rows of the other tables."""
+    """Rows of the other tables."""
 
     @seed(12)
     @settings(max_examples=300, deadline=None)
-    @given(st.sampled_from(_RAW) | _ROWS)
-    def test_any_row_is_read_or_refused(self, content: bytes) -> None:
-        """Configurations, orders and states: a clear error, no other."""
+    @given(st.sampled_from(_MALFORMED) | _ROWS)
+    def test_any_row_is_parsed_or_rejected(self, content: bytes) -> None:
+        """No other error for configurations, orders and states."""
         row = Row('rollout/s1', content, 2)
-        for read in (parse_order, parse_status, parse_step):
-            with self.subTest(read=read.__name__):
-                self._read(read, row)
-        self._read(parse_configuration, content)
+        for parse in (parse_order, parse_status, parse_step):
+            with self.subTest(read=parse.__name__):
+                self._parse(parse, row)
+        self._parse(parse_configuration, content)
 
     @seed(13)
     @settings(max_examples=300, deadline=None)
-    @given(st.lists(st.sampled_from(_RAW) | _ROWS, max_size=5))
-    def test_gateways_hold_beside_any(self, told: list[bytes]) -> None:
-        """A row that is none neither adds nor removes a gateway."""
+    @given(st.lists(st.sampled_from(_MALFORMED) | _ROWS, max_size=5))
+    def test_invalid_rows_do_not_change_the_gateways(
+        self, raw_rows: list[bytes]
+    ) -> None:
+        """They neither add nor remove a gateway."""
         peers = Peers('g0', ManualClock())
-        good = Row('g1', b'{"address": "10.0.0.1:7600"}', 2)
-        apply_gateway_rows(peers, Page((good,), 9, 0, 0, 0, is_snapshot=True))
-        rows = [Row(f'b-{key}', content, 2) for key, content in enumerate(told)]
-        spoiled = Row('g1', b'[' * 100_000, 3)
-        page = Page((*rows, spoiled), 9, 0, 0, 0, is_snapshot=True)
+        valid = Row('g1', b'{"address": "10.0.0.1:7600"}', 2)
+        apply_gateway_rows(peers, Page((valid,), 9, 0, 0, 0, is_snapshot=True))
+        rows = [
+            Row(f'b-{key}', content, 2) for key, content in enumerate(raw_rows)
+        ]
+        invalid = Row('g1', b'[' * 100_000, 3)
+        page = Page((*rows, invalid), 9, 0, 0, 0, is_snapshot=True)
         apply_gateway_rows(peers, page)
         self.assertEqual(peers.address_of('g1'), '10.0.0.1:7600')
 
-    def _read(self, read: Any, told: Any) -> None:
+    def _parse(self, parse: Any, content: Any) -> None:
         try:
-            read(told)
+            parse(content)
         except PlatformError:
             return
 
 
 class RunningGatewayTest(GatewayCase):
-    """A gateway goes on following its tables."""
+    """A running gateway that follows its tables."""
 
-    async def test_list_is_followed_after_a_bad_row(self) -> None:
-        """A server that is listed after each of the two worst is known."""
+    async def test_list_is_followed_after_an_invalid_row(self) -> None:
+        """Servers listed later are still found."""
         gateway = await self.start_ready()
-        known = gateway.components.backends
-        for number, content in enumerate((_RAW[7], _RAW[13]), start=2):
+        backends = gateway.components.backends
+        for number, content in enumerate(
+            (_MALFORMED[7], _MALFORMED[13]), start=2
+        ):
             self.store.put(SERVERS_TABLE, f'b-{number}', content)
             self.store.put(GATEWAYS_TABLE, f'g-{number}', content)
             put_server(self.store, f'i-{number}', self.server.address)
-            await until_true(partial(known.get, f'i-{number}'))
+            await until_true(partial(backends.get, f'i-{number}'))
         self.assertEqual((await self.ask(gateway)).status_code, 200)
--- a/seampond/gateway/tests/test_stale_configuration.py
+++ b/seampond/gateway/tests/test_stale_configuration.py
@@ -1,21 +1,7 @@
-"""A gateway that was cut from the store catches up over a narrow link.
+"""Tests of a gateway whose configuration is out of date.
 
-Symptom: a gateway that reached the store again refused, for seven seconds
-more, routes and keys that had been added meanwhile (404, 401).
-
-Sequence: for 12 s no call to the store got through while the configuration
-was written some 35 times.  Then each call was answered, one a second, and
-given up.  It ended when the store had forgotten the history and the table was
-read whole, 0.04 s later.
-
-Cause: a feed's answer holds each version since the one that is held, so it
-grew with the length of the cut; a call had 0.9 s for the whole answer however
-fast it came in; and the call that followed was the same one.
-
-What settled it: the store counted the calls as answered; the gateway took in
-342 to 621 KB/s over a link of 625 KB/s, its neighbours 40 to 112 KB/s; its
-requests told `version 11` and a `proof_age_ms` of 21,409, and its watch
-logged nothing but `history gone` at the end.
+After a long outage of the store the changes since the last known version can be
+too large for the timeout of one call, and a repeated call would never succeed.
 """
 
 from http import HTTPStatus
@@ -28,21 +14,21 @@
 
 _TENANTS = 2000
 _VERSIONS = 60
-# All versions take over seven seconds, the newest an eighth of one.
+# At this rate all versions take over 7 s, the newest alone 0.125 s.
 _BYTES_PER_S = 1_000_000
-_MOST_S = 8
+_TIMEOUT_S = 8
 _LATER_MS = 1_000_000_000
 
 
-class CatchingUpTest(GatewayCase):
-    """One gateway before a store that is away for a while."""
+class StaleConfigurationTest(GatewayCase):
+    """One gateway whose store is unavailable for some time."""
 
-    async def test_a_cut_ends_with_the_newest_configuration(self) -> None:
-        """However many versions were missed, and however slowly they come."""
+    async def test_gateway_catches_up_over_a_slow_link(self) -> None:
+        """With many missed versions the newest is loaded in time."""
         gateway = await self.start_ready()
         admission = gateway.components.web.admission
         self.store.is_down = True
-        # The change ends the call that waits; the ones after it fail.
+        # The change ends the waiting call; later calls fail.
         put_configuration(self.store, ConfigurationRow(version=2))
         await until_true(lambda: gateway.components.is_store_unreachable)
         for version in range(3, _VERSIONS):
@@ -50,10 +36,10 @@
             put_configuration(self.store, row)
         self.store.bytes_per_s = _BYTES_PER_S
         self.store.is_down = False
-        await until_true(lambda: admission.version == _VERSIONS - 1, _MOST_S)
+        await until_true(lambda: admission.version == _VERSIONS - 1, _TIMEOUT_S)
 
-    async def test_who_is_behind_denies_nobody(self) -> None:
-        """The route or the key may have been added; callers try again."""
+    async def test_stale_gateway_does_not_deny_callers(self) -> None:
+        """The route or key may be new, so callers are told to retry."""
         gateway = await self.start_ready()
         self.store.is_down = True
         freshness = gateway.components.freshness[CONFIGURATION_TABLE]
--- a/seampond/gateway/tests/test_start.py
+++ b/seampond/gateway/tests/test_start.py
@@ -1,4 +1,4 @@
-"""A gateway is back soon: what its program loads, and what it refuses."""
+"""Tests of what a gateway loads at its start, and of its settings."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 from seampond.errors import SettingsError
 from seampond.settings.gateway import load_gateway
 
-# Each of these costs some tenths of the time that a start takes.
+# Each of these libraries would slow down the start.
 _SLOW = ('pydantic', 'aiosonic', 'starlette.routing', 'cleo', 'transitions')
 _GOOD = """
 [gateway]
@@ -30,13 +30,13 @@
             'import sys, seampond.gateway.__main__;'
             f'print([name for name in {_SLOW!r} if name in sys.modules])'
         )
-        told = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-c', program],
             capture_output=True,
             text=True,
             check=True,
         )
-        self.assertEqual(told.stdout.strip(), '[]')
+        self.assertEqual(completed.stdout.strip(), '[]')
 
 
 class GatewaySettingsTest(unittest.TestCase):
@@ -52,13 +52,13 @@
         self.assertIn(str(self.path), caught.exception.message)
         return caught.exception.message
 
-    def test_good_settings_load(self) -> None:
+    def test_valid_settings_load(self) -> None:
         self.path.write_text(f'{_GOOD}history_ms = 4000\n')
         settings = load_gateway(self.path)
         self.assertEqual(settings.store.call_ms, 3000)
         self.assertEqual(settings.bounds.revoke_ms, 5000)
 
-    def test_what_is_wrong_is_named_with_a_cure(self) -> None:
+    def test_errors_name_the_key_and_a_remedy(self) -> None:
         cases = (
             (f'{_GOOD}histery_ms = 1', 'store.histery_ms: unknown key; remove'),
             (_GOOD.replace('zone', '#'), 'zone: missing; add it'),
@@ -77,10 +77,10 @@
             (_GOOD.replace('[gateway', '[agent'), 'it must hold just one of'),
             ('[gateway', 'not TOML'),
         )
-        for text, told in cases:
-            with self.subTest(told):
-                self.assertIn(told, self.problem(text))
+        for text, message in cases:
+            with self.subTest(message):
+                self.assertIn(message, self.problem(text))
 
-    def test_a_missing_file_is_refused(self) -> None:
+    def test_missing_file_is_an_error(self) -> None:
         with self.assertRaises(SettingsError):
             load_gateway(self.path)
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -1,8 +1,7 @@
-"""A gateway on a machine that was suspended.
+"""Tests of a gateway on a machine that was suspended.
 
-The steady clock stands still meanwhile, and so did every age that was taken
-from it: a proof 1 s old before a sleep of 60 s was 1 s old after it, and a
-request with a key that had been taken away meanwhile would have been sent.
+The steady clock may stand still during a suspension.  Ages taken from it would
+be too low, and a revoked key would be accepted.
 """
 
 import asyncio
@@ -31,59 +30,59 @@
 from seampond.testing.scripted import Received, make_chunk, write_chunks
 
 _JUMPS_S = (2, 10, 60)
-# What the configuration of these tests gives a request.
+# The timeout of a request in the configuration of these tests.
 _TIMEOUT_MS = 5000
 _EVENTS = 8
 
 
-class Sleeper:
-    """A steady clock that a test moves on, as a suspension does."""
+class SuspendableClock:
+    """A steady clock that a test can move on, as a suspension does."""
 
     def __init__(self) -> None:
-        """Start awake."""
+        """Start without a suspension."""
         self._read = clocks.read_steady_ns
-        self._away_ns = 0
+        self._suspended_ns = 0
 
     def suspend(self, seconds: float) -> None:
-        """Let the machine have been away."""
-        self._away_ns += round(seconds * NS_PER_SECOND)
+        """Simulate a suspension."""
+        self._suspended_ns += round(seconds * NS_PER_SECOND)
 
     def read(self) -> int:
-        """Give what the steady clock tells."""
-        return self._read() + self._away_ns
+        """Return the time of the steady clock."""
+        return self._read() + self._suspended_ns
 
 
-class SteadyLoopTest(unittest.TestCase):
-    """Timers of the daemon's loop."""
+class SuspensionAwareLoopTest(unittest.TestCase):
+    """Timers of the daemon's event loop."""
 
-    def test_overdue_timers_end_at_once(self) -> None:
-        """Each once, in the order in which they were due."""
+    def test_overdue_timers_fire_at_once(self) -> None:
+        """Each fires once, in the order of their deadlines."""
         for seconds in _JUMPS_S:
             with self.subTest(seconds=seconds):
                 self.assertEqual(self._sleep(seconds), ['first', 'second'])
 
-    def test_suspension_is_told(self) -> None:
-        """How long it was, once; and nothing of a machine that is awake."""
-        sleeper = Sleeper()
-        told: list[int] = []
+    def test_suspension_is_reported(self) -> None:
+        """Its duration is reported once, and only if there was one."""
+        steady_clock = SuspendableClock()
+        reported_ms: list[int] = []
 
         async def run() -> None:
             watch = asyncio.create_task(
-                watch_suspension(told.append, Clock(int))
+                watch_suspension(reported_ms.append, Clock(int))
             )
             await asyncio.sleep(1.2)
-            sleeper.suspend(10)
+            steady_clock.suspend(10)
             await asyncio.sleep(1.2)
             watch.cancel()
 
-        with patch.object(clocks, 'read_steady_ns', sleeper.read):
+        with patch.object(clocks, 'read_steady_ns', steady_clock.read):
             with asyncio.Runner(loop_factory=SuspensionAwareLoop) as runner:
                 runner.run(run())
-        self.assertEqual(len(told), 1)
-        self.assertAlmostEqual(told[0], 10 * MS_PER_SECOND, delta=100)
+        self.assertEqual(len(reported_ms), 1)
+        self.assertAlmostEqual(reported_ms[0], 10 * MS_PER_SECOND, delta=100)
 
     def _sleep(self, seconds: float) -> list[str]:
-        sleeper = Sleeper()
+        steady_clock = SuspendableClock()
         fired: list[str] = []
 
         async def run() -> None:
@@ -91,22 +90,22 @@
             loop.call_later(seconds - 0.2, fired.append, 'second')
             loop.call_later(seconds - 0.3, fired.append, 'first')
             loop.call_later(seconds + 30, fired.append, 'later')
-            sleeper.suspend(seconds)
+            steady_clock.suspend(seconds)
             await asyncio.sleep(0.05)
 
-        with patch.object(clocks, 'read_steady_ns', sleeper.read):
+        with patch.object(clocks, 'read_steady_ns', steady_clock.read):
             with asyncio.Runner(loop_factory=SuspensionAwareLoop) as runner:
                 runner.run(run())
         return fired
 
 
 class SuspendedGatewayTest(GatewayCase):
-    """A gateway whose clock has moved on while it stood still."""
+    """A gateway whose clock moved on during a suspension."""
 
     def setUp(self) -> None:
-        """Have a clock to move on."""
-        self.sleeper = Sleeper()
-        patched = patch.object(clocks, 'read_steady_ns', self.sleeper.read)
+        """Install a clock that can be moved on."""
+        self.steady_clock = SuspendableClock()
+        patched = patch.object(clocks, 'read_steady_ns', self.steady_clock.read)
         patched.start()
         self.addCleanup(patched.stop)
         self.answer_ms = 0
@@ -122,71 +121,71 @@
         await asyncio.sleep(self.answer_ms / MS_PER_SECOND)
         await super().serve(request, writer)
 
-    async def test_no_send_by_a_proof_that_is_over(self) -> None:
-        """With the store away, so that nothing proves it anew."""
+    async def test_expired_proof_stops_requests(self) -> None:
+        """The store is unavailable, so the proof cannot be renewed."""
         gateway = await self.start_ready()
         proof_ms = gateway.components.web.admission.max_proof_age_ms
         assert proof_ms is not None
         for seconds in _JUMPS_S:
             sent = len(self.server.received)
             self.store.is_down = True
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             is_over = seconds * MS_PER_SECOND > proof_ms
-            status = await self._ask_plainly(gateway)
+            status = await self._request_status(gateway)
             self.assertEqual(status, 503 if is_over else 200)
             self.assertEqual(len(self.server.received) == sent, is_over)
             self.store.is_down = False
             await self._until_proved(gateway)
-            self.assertEqual(await self._ask_plainly(gateway), 200)
+            self.assertEqual(await self._request_status(gateway), 200)
 
-    async def test_while_it_starts(self) -> None:
-        """It is ready as soon as ever."""
+    async def test_suspension_while_starting(self) -> None:
+        """The gateway becomes ready without delay."""
         put_configuration(self.store)
         self.list_server()
         for seconds in _JUMPS_S:
             gateway = await self.start(name=f'g-{seconds}')
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             await self._until_proved(gateway)
-            self.assertEqual(await self._ask_plainly(gateway), 200)
+            self.assertEqual(await self._request_status(gateway), 200)
 
-    async def test_while_it_serves(self) -> None:
-        """What is overdue by then gets its final answer at once."""
+    async def test_suspension_while_serving(self) -> None:
+        """Overdue requests get their final answer at once."""
         gateway = await self.start_ready()
         self.answer_ms = 1000
         for seconds in _JUMPS_S:
             await self._until_proved(gateway)
-            asked = asyncio.create_task(self._ask_plainly(gateway))
+            asked = asyncio.create_task(self._request_status(gateway))
             await asyncio.sleep(0.2)
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             before = time.monotonic()
             status = await asked
             self.assertLess(time.monotonic() - before, 0.5)
             is_late = seconds * MS_PER_SECOND > _TIMEOUT_MS
             self.assertIn(status, (200, 504) if is_late else (200,))
 
-    async def test_while_it_stops(self) -> None:
-        """The stop ends when it should have, not so much later."""
+    async def test_suspension_while_stopping(self) -> None:
+        """The stop is not prolonged by the suspension."""
         for seconds in _JUMPS_S:
             gateway = await self.start_ready(
                 name=f'g-{seconds}', linger_ms=1500
             )
             stop = asyncio.create_task(gateway.drain())
             await asyncio.sleep(0.1)
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             await asyncio.wait_for(stop, 1 + seconds)
             self.assertEqual(gateway.components.web.open_requests, 0)
 
-    async def test_while_a_stream_runs(self) -> None:
-        """What has come by then ends whole, or it is cut as overdue."""
+    async def test_suspension_during_a_stream(self) -> None:
+        """The stream ends whole, or is cut off as overdue."""
         put_configuration(self.store, ConfigurationRow(kind=STREAM))
         self.list_server()
         gateway = await self.start()
         self.is_stream = True
         for seconds in _JUMPS_S:
             await self._until_proved(gateway)
-            asked = asyncio.create_task(self._read_plainly(gateway))
+            asked = asyncio.create_task(self._request_raw(gateway))
             await asyncio.sleep(0.2)
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             before = time.monotonic()
             answer = await asked
             self.assertLess(time.monotonic() - before, 1.5)
@@ -195,27 +194,27 @@
             if seconds * MS_PER_SECOND < _TIMEOUT_MS:
                 self.assertTrue(is_whole)
 
-    async def test_while_it_follows(self) -> None:
-        """A change that was written meanwhile is known as soon as ever."""
+    async def test_suspension_while_following_tables(self) -> None:
+        """A change is applied without delay afterwards."""
         gateway = await self.start_ready()
         for number, seconds in enumerate(_JUMPS_S):
             await self._until_proved(gateway)
-            self.sleeper.suspend(seconds)
-            await self._check_followed(gateway, number + 2)
+            self.steady_clock.suspend(seconds)
+            await self._check_changes_applied(gateway, number + 2)
 
-    async def test_while_it_carries_out_a_roll_out(self) -> None:
-        """An order whose time is over meanwhile is not done unproved."""
+    async def test_suspension_during_a_rollout(self) -> None:
+        """An order whose time has passed is not done without evidence."""
         gateway = await self.start_ready()
         for number, seconds in enumerate(_JUMPS_S):
             target = f'v{number + 2}'
             put_order(self.store, target, 4)
             await self._until_state('running', target)
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             await self._until_state('rolled_back', target)
             self.assertEqual(gateway.components.promises.broken, 0)
 
-    async def test_a_rest_ends_when_it_should(self) -> None:
-        """The time for which the machine was away counts."""
+    async def test_suspension_counts_towards_a_backoff(self) -> None:
+        """A back-off ends at its time, suspended or not."""
         gateway = await self.start_ready()
         backend = pick(gateway.components.backends, 'i-1')
         clock = gateway.components.clock
@@ -226,7 +225,7 @@
                 clock.now(),
             )
             self.assertFalse(backend.may_send(clock.now()))
-            self.sleeper.suspend(seconds)
+            self.steady_clock.suspend(seconds)
             self.assertTrue(backend.may_send(clock.now()))
 
     async def _serve_events(
@@ -239,7 +238,7 @@
             writer.write(make_chunk(b'id: %d\ndata: x\n\n' % number))
         writer.write(make_chunk(b''))
 
-    async def _check_followed(
+    async def _check_changes_applied(
         self, gateway: RunningGateway, number: int
     ) -> None:
         name = f'i-{number}'
@@ -252,13 +251,13 @@
     async def _until_state(self, state: str, target: str) -> None:
         await until_true(lambda: read_state(self.store) == (state, target), 10)
 
-    async def _ask_plainly(self, gateway: RunningGateway) -> int:
-        """Give the status of a request."""
-        answer = await self._read_plainly(gateway)
+    async def _request_status(self, gateway: RunningGateway) -> int:
+        """Return the status of a request."""
+        answer = await self._request_raw(gateway)
         return int(answer.split(b' ')[1])
 
-    async def _read_plainly(self, gateway: RunningGateway) -> bytes:
-        """Send a request as a caller that has no time-outs of its own."""
+    async def _request_raw(self, gateway: RunningGateway) -> bytes:
+        """Send a request without timeouts; return the raw answer."""
         host, _, port = gateway.components.settings.listen.rpartition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         lines = (
