--- a/seampond/gateway/daemon.py
+++ b/seampond/gateway/daemon.py
@@ -64,7 +64,7 @@
     batch_ms : int
         How long changes may be collected into one answer.
     proves_at_start : bool
-        Whether a gateway that starts at once verifies that its copy of the
+        Whether a gateway verifies right after its start that its copy of the
         table is current.
 
     """
@@ -74,7 +74,7 @@
     proves_at_start: bool
 
 
-# An outdated configuration may hold a key that has been revoked.
+# Tables followed promptly: an outdated configuration may hold a revoked key.
 _CRITICAL = FollowPolicy(_CRITICAL_PAUSE_MS, 0, proves_at_start=True)
 _ROUTINE = FollowPolicy(_ROUTINE_PAUSE_MS, _BATCH_MS, proves_at_start=False)
 
--- a/seampond/gateway/followers.py
+++ b/seampond/gateway/followers.py
@@ -89,13 +89,13 @@
     def handle_page(self, page: Page) -> None:
         """Apply an answer of the store."""
         servers: list[Server] = []
-        gone: list[str] = []
+        removed: list[str] = []
         unreadable: list[str] = []
         # An answer may hold a row more than once; the last one counts.
         latest = {row.key: row for row in page.rows}
         for row in latest.values():
             if row.is_deleted:
-                gone.append(row.key)
+                removed.append(row.key)
                 continue
             try:
                 servers.append(parse_server(row.key, row.content))
@@ -105,7 +105,7 @@
         if page.is_snapshot:
             self._backends.replace_all(servers, unreadable)
         else:
-            self._backends.update(servers, gone)
+            self._backends.update(servers, removed)
         self._backends.mark_unreadable(unreadable)
         self.is_loaded = True
         self._scheduler.process_queues()
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -155,7 +155,9 @@
         fleet, gateways = await self.open_fleet()
         first, second = (gateway.components for gateway in gateways)
         apply_heartbeat = second.peers.apply_heartbeat
-        with patch.object(second.peers, 'apply_heartbeat', lambda told: False):
+        with patch.object(
+            second.peers, 'apply_heartbeat', lambda heartbeat: False
+        ):
             await self.drive(
                 fleet, gateways[:1], (CRASHING_BODY, 250), for_ms=7000
             )
@@ -274,8 +276,8 @@
 
 
 def _has_quarantined_body(gateway: RunningGateway) -> bool:
-    known = gateway.components.quarantine.trials
-    return known.is_quarantined(_fingerprint_of(CRASHING_BODY))
+    quarantine_trials = gateway.components.quarantine.trials
+    return quarantine_trials.is_quarantined(_fingerprint_of(CRASHING_BODY))
 
 
 def _fingerprint_of(body: bytes) -> int:
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -48,7 +48,7 @@
 from seampond.testing.store import StandInStore, run_store
 from seampond.watches import FreshnessProof
 
-# The stand-in's steady clock against ours.
+# Offset of the stand-in's steady clock from the gateway's.
 _STORE_AHEAD_MS = 1_000_000
 _PORTS = 4
 
@@ -239,8 +239,10 @@
         first = await self.start_ready()
         second = await self.start(name='g2')
         peers = [gateway.components.peers for gateway in (first, second)]
-        await until_true(lambda: all(one.all_reachable for one in peers))
-        self.assertEqual([one.count for one in peers], [2, 2])
+        await until_true(
+            lambda: all(peer_list.all_reachable for peer_list in peers)
+        )
+        self.assertEqual([peer_list.count for peer_list in peers], [2, 2])
 
     async def test_stopped_gateway_is_removed_at_once(self) -> None:
         """By its last heartbeat and the removal of its row."""
@@ -249,8 +251,8 @@
         settings = build_settings(self.store.address, name='g2')
         async with run_gateway(settings, Clock()) as second:
             await until_true(lambda: peers.count == 2 and peers.all_reachable)
-            known = second.components.peers
-            await until_true(lambda: known.registration_version)
+            second_peers = second.components.peers
+            await until_true(lambda: second_peers.registration_version)
         await until_true(lambda: peers.count == 1 and peers.all_reachable)
         self.assertTrue(is_gateway_removed(self.store, 'g2'))
 
--- a/seampond/gateway/wiring.py
+++ b/seampond/gateway/wiring.py
@@ -181,7 +181,7 @@
         Trials(store_clock, clock),
         hash_name,
         is_heartbeat_due.set,
-        lambda leave: metrics.trials.labels(leave).inc(),
+        lambda permission: metrics.trials.labels(permission).inc(),
         clock,
     )
     metrics.suspects.set_function(lambda: len(quarantine.suspects))
--- a/seampond/platform/tests/test_headers.py
+++ b/seampond/platform/tests/test_headers.py
@@ -41,8 +41,8 @@
 def _send(*headers: tuple[bytes, bytes]) -> list[tuple[bytes, bytes]]:
     """Return the headers that a server gets, names in lower case."""
     # The web server passes names in lower case.
-    given = [(name.lower(), text) for name, text in headers]
-    job = build_job(headers=given)
+    lowercase = [(name.lower(), text) for name, text in headers]
+    job = build_job(headers=lowercase)
     head = encode_request(job, HEADERS, _INSTANCE, job.arrived_ms)
     lines = head.partition(b'\r\n\r\n')[0].split(b'\r\n')[1:]
     pairs = [line.partition(b': ') for line in lines]
--- a/seampond/settings/files.py
+++ b/seampond/settings/files.py
@@ -1,4 +1,4 @@
-"""Settings files as they lie on disk: TOML with one table, named for a role."""
+"""Reading of settings files: TOML with one table, named for a role."""
 
 import tomllib
 from collections.abc import Iterable
@@ -30,12 +30,12 @@
 
 
 def pick_role(path: Path, tree: dict[str, Any], known: Iterable[str]) -> str:
-    """Give the role that the one table of a file is named for.
+    """Return the role that the only table of a file is named for.
 
     Raises
     ------
     SettingsError
-        If there is another number of tables, or another name.
+        If there is not exactly one table, or it is not named for a role.
 
     """
     names = list(known)
--- a/seampond/settings/gateway.py
+++ b/seampond/settings/gateway.py
@@ -1,7 +1,6 @@
-"""The settings of a gateway.
+"""Settings of a gateway.
 
-The models are msgspec's: a gateway has to be back a moment after a power
-loss, and the library of the other roles' models costs a third of its start.
+The models use msgspec, since importing pydantic would slow down the start.
 """
 
 import re
@@ -21,8 +20,8 @@
 _ADDRESS = f'^.+:{_PORT}$'
 _NAME = '^[a-z0-9][a-z0-9.-]{0,62}$'
 _LEVEL = '^(DEBUG|INFO|WARNING|ERROR)$'
-_HISTORY_PART = 0.75
-_FIELD = re.compile('`([^`]+)`')
+_HISTORY_FRACTION = 0.75
+_FIELD_NAME = re.compile('`([^`]+)`')
 
 Address = Annotated[str, msgspec.Meta(pattern=_ADDRESS)]
 Name = Annotated[str, msgspec.Meta(pattern=_NAME)]
@@ -36,24 +35,24 @@
 class Section(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Base of all sections: unknown keys are errors."""
+    """Base of all sections; unknown keys are errors."""
 
 
 class LogSettings(Section, frozen=True):
-    """What is logged."""
+    """Settings of the log."""
 
     level: Level = 'INFO'
 
 
 class StoreSettings(Section, frozen=True):
-    """The store that a gateway's beliefs come from.
+    """The store from which a gateway reads its configuration and servers.
 
     Parameters
     ----------
     wait_ms : int
         How long the store holds a call while nothing changes.
     history_ms : int
-        How long the store knows what has changed.
+        How long the store keeps the history of changes.
 
     """
 
@@ -63,7 +62,7 @@
 
     @property
     def call_ms(self) -> int:
-        """How long a call waits, so that the history outlasts it.
+        """How long a call waits, which is shorter than the history.
 
         Examples
         --------
@@ -71,33 +70,33 @@
         3000
 
         """
-        return min(self.wait_ms, round(self.history_ms * _HISTORY_PART))
+        return min(self.wait_ms, round(self.history_ms * _HISTORY_FRACTION))
 
 
 class BoundSettings(Section, frozen=True):
-    """The bounds that the gateways keep together.
+    """Bounds that all gateways together keep.
 
     Parameters
     ----------
     strict_revoke : bool
-        Whether a key that was removed must not be served later than
-        `revoke_ms`, also by a gateway that is cut off from the store.
+        Whether a revoked key is rejected after `revoke_ms` even by a gateway
+        that cannot reach the store.
     revoke_ms : int
-        How long after its removal a key may still be served.
+        How long a key may be accepted after its removal.
     proof_margin_ms : int
-        How much earlier than that a gateway without proof stops.
+        How much earlier a gateway without proof stops accepting keys.
     drain_ms : int
-        How long after the list has told of its end a server may be sent to.
+        How long requests may be sent to a server whose row was removed.
     retry_ratio : float
-        Second sends for each fresh request, in any window.
+        Retries for each first attempt, in any window.
     quota_overrun, quota_slack : float
-        In any window all gateways together may give a share of a quota and
-        some units more than the quota.
+        Share of a quota, and number of units, that may be granted beyond the
+        quota in any window.
     quota_window_s : float
-        The length of that window.
+        Length of that window.
     expose_share, expose_slack : float
-        All gateways together may send a share of a pool's requests and some
-        more to a version that is not proved.
+        Share of a pool's requests, and number of further requests, that may
+        be sent to an unproved version.
 
     """
 
@@ -117,7 +116,7 @@
 
     @property
     def proof_ms(self) -> int | None:
-        """How old the proof of a configuration may be, None for any age.
+        """Maximum age of a configuration's proof, None for any age.
 
         Examples
         --------
@@ -131,7 +130,7 @@
 
 
 class GatewaySettings(Section, frozen=True):
-    """`seampond gateway`."""
+    """Settings of `seampond gateway`."""
 
     name: Name
     zone: str
@@ -145,16 +144,16 @@
     logs: LogSettings = msgspec.field(default_factory=LogSettings)
 
 
-def _cure(error: msgspec.ValidationError) -> str:
-    """Say which key is wrong, and what to do about it."""
-    message, _, where = str(error).partition(' - at `$')
-    path = where.rstrip('`').lstrip('.')
-    named = _FIELD.search(message)
-    if named and 'unknown field' in message:
-        key = f'{path}.{named.group(1)}'.lstrip('.')
+def _explain(error: msgspec.ValidationError) -> str:
+    """Return the invalid key and a remedy."""
+    message, _, location = str(error).partition(' - at `$')
+    path = location.rstrip('`').lstrip('.')
+    field_name = _FIELD_NAME.search(message)
+    if field_name and 'unknown field' in message:
+        key = f'{path}.{field_name.group(1)}'.lstrip('.')
         return f'{key}: unknown key; remove it'
-    if named and 'missing required' in message:
-        key = f'{path}.{named.group(1)}'.lstrip('.')
+    if field_name and 'missing required' in message:
+        key = f'{path}.{field_name.group(1)}'.lstrip('.')
         return f'{key}: missing; add it'
     if _ADDRESS in message:
         return (
@@ -165,19 +164,19 @@
 
 
 def convert_gateway(path: Path, content: Any) -> GatewaySettings:
-    """Validate the table of a gateway's file.
+    """Validate the table of a gateway's settings file.
 
     Raises
     ------
     SettingsError
-        With the file, the first bad key, and what to do.
+        If a key is invalid; names the file, the first such key and a remedy.
 
     """
     try:
         return msgspec.convert(content, GatewaySettings, strict=False)
     except msgspec.ValidationError as error:
         raise SettingsError(
-            f'{path}: [{ROLE}] {_cure(error)}', step='settings'
+            f'{path}: [{ROLE}] {_explain(error)}', step='settings'
         ) from error
 
 
@@ -187,7 +186,7 @@
     Raises
     ------
     SettingsError
-        Also if the file is another role's.
+        If the file is invalid or of another role.
 
     """
     tree = read_toml(path)
--- a/seampond/settings/load.py
+++ b/seampond/settings/load.py
@@ -1,4 +1,4 @@
-"""Settings files: read, validated, and refused with file, key and cure."""
+"""Reading and validation of settings files; errors name file and key."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -35,19 +35,19 @@
 )
 
 
-def _cure(problem: Any, model: type[BaseModel]) -> str:
+def _explain(problem: Any, model: type[BaseModel]) -> str:
     key = '.'.join(str(part) for part in problem['loc'])
     if problem['type'] == 'extra_forbidden':
         known = ', '.join(sorted(model.model_fields))
         return f'{key}: unknown key; remove it (top-level keys: {known})'
     if problem['type'] == 'missing':
         return f'{key}: missing; add it'
-    given = problem.get('input')
-    return f'{key}: {problem["msg"]} (it is {given!r})'
+    found = problem.get('input')
+    return f'{key}: {problem["msg"]} (it is {found!r})'
 
 
 def load_any(path: Path) -> AnySettings:
-    """Read the settings file of whichever role.
+    """Read the settings file of any role.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
     Raises
     ------
     SettingsError
-        With the file, each bad key, and what to do.
+        If keys are invalid; names the file, each such key and a remedy.
 
     """
     tree = read_toml(path)
@@ -70,16 +70,18 @@
     model = ROLES[role]
     content = tree[role]
     if content.get(_SEED_KEY):
-        # A relative path is meant from the settings file.
+        # Relative paths are relative to the settings file.
         content[_SEED_KEY] = str(path.parent / content[_SEED_KEY])
     if not issubclass(model, BaseModel):
         return convert_gateway(path, content)
     try:
         return model.model_validate(content)
     except ValidationError as error:
-        cures = '; '.join(_cure(problem, model) for problem in error.errors())
+        explanations = '; '.join(
+            _explain(problem, model) for problem in error.errors()
+        )
         raise SettingsError(
-            f'{path}: [{role}] {cures}', step='settings'
+            f'{path}: [{role}] {explanations}', step='settings'
         ) from error
 
 
@@ -89,7 +91,7 @@
     Raises
     ------
     SettingsError
-        Also if the file is another role's.
+        If the file is invalid or of another role.
 
     """
     settings = load_any(path)
--- a/seampond/settings/models.py
+++ b/seampond/settings/models.py
@@ -1,4 +1,4 @@
-"""The settings of each role, validated at the border."""
+"""Models of the settings of each role but the gateway."""
 
 from typing import Annotated
 
@@ -31,13 +31,13 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: unknown keys are errors."""
+    """Base of all sections; unknown keys are errors."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
 
 class LinkSettings(Section):
-    """The links between entries and agents."""
+    """Links between entries and agents."""
 
     secret: str = Field(min_length=_MIN_SECRET)
     heartbeat_ms: PositiveMs = 1000
@@ -45,7 +45,7 @@
 
 
 class PlatformSettings(Section):
-    """Where the platform's services answer."""
+    """Addresses of the platform's services."""
 
     tables: Url
     objects: Url
@@ -54,13 +54,13 @@
 
 
 class LogSettings(Section):
-    """What is logged."""
+    """Settings of the log."""
 
     level: str = Field(default='INFO', pattern='^(DEBUG|INFO|WARNING|ERROR)$')
 
 
 class RoutingSettings(Section):
-    """How an entry places and sheds requests."""
+    """How an entry schedules and sheds requests."""
 
     waiting_max: int = Field(default=2000, gt=0)
     waiting_max_bytes: int = Field(default=24_000_000, gt=0)
@@ -76,7 +76,7 @@
 
 
 class EntrySettings(Section):
-    """`seampond entry`."""
+    """Settings of `seampond entry`."""
 
     name: Name
     hall: Name
@@ -104,7 +104,7 @@
 
 
 class AgentSettings(Section):
-    """`seampond agent`."""
+    """Settings of `seampond agent`."""
 
     name: Name
     hall: Name
@@ -122,7 +122,7 @@
 
 
 class VmSettings(Section):
-    """One row of the stand-in's VM list."""
+    """One row of the stand-in's list of VMs."""
 
     name: Name
     hall: Name
@@ -132,7 +132,7 @@
 
 
 class PlatformStandInSettings(Section):
-    """`seampond platform`: the stand-ins for the platform."""
+    """Settings of `seampond platform`, the stand-in for the platform."""
 
     listen: Address
     list_lag_ms: int = Field(default=1000, ge=0)
@@ -143,7 +143,7 @@
 
 
 class EngineStandInSettings(Section):
-    """`seampond engine`: the stand-in for a backend server."""
+    """Settings of `seampond engine`, the stand-in for a backend server."""
 
     listen: Address
     kind: str = Field(default='model', pattern='^(model|service)$')
@@ -159,7 +159,7 @@
 
 
 class OperatorSettings(Section):
-    """The operators' commands: who edits, and where."""
+    """Settings of the operators' commands."""
 
     author: str = Field(min_length=1)
     platform: PlatformSettings
--- a/seampond/settings/tests/test_load.py
+++ b/seampond/settings/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Settings: refused with file, key and cure; the examples are good."""
+"""Tests of reading settings files, and of the example files."""
 
 import tempfile
 import unittest
@@ -36,42 +36,42 @@
         self.assertIn(str(self.path), caught.exception.message)
         return caught.exception.message
 
-    def test_good_settings_load(self) -> None:
+    def test_valid_settings_load(self) -> None:
         self.path.write_text(GOOD)
         settings = load_settings(self.path, EntrySettings)
         self.assertEqual(settings.links.heartbeat_ms, 1000)
 
-    def test_an_unknown_key_is_named(self) -> None:
+    def test_error_names_an_unknown_key(self) -> None:
         message = self.problem(GOOD.replace('hall', 'zone'))
         self.assertIn('zone: unknown key', message)
         self.assertIn('hall: missing', message)
 
-    def test_a_bad_address_says_how_to_write_it(self) -> None:
+    def test_error_of_an_address_shows_the_format(self) -> None:
         message = self.problem(GOOD.replace('127.0.0.1:7111', 'localhost'))
         self.assertIn('listen', message)
         self.assertIn('IP:PORT', message)
 
-    def test_a_short_secret_is_refused(self) -> None:
+    def test_short_secret_is_an_error(self) -> None:
         message = self.problem(GOOD.replace('-that-is-long', ''))
         self.assertIn('links.secret', message)
 
-    def test_what_is_not_toml_is_refused(self) -> None:
+    def test_invalid_toml_is_an_error(self) -> None:
         self.assertIn('not TOML', self.problem('[entry'))
 
-    def test_a_missing_file_is_refused(self) -> None:
+    def test_missing_file_is_an_error(self) -> None:
         with self.assertRaises(SettingsError):
             load_any(self.path)
 
-    def test_the_file_of_another_role_is_refused(self) -> None:
+    def test_file_of_another_role_is_an_error(self) -> None:
         self.path.write_text(GOOD)
         with self.assertRaises(SettingsError) as caught:
             load_settings(self.path, AgentSettings)
         self.assertIn('[agent]', caught.exception.message)
 
-    def test_two_roles_in_a_file_are_refused(self) -> None:
+    def test_two_roles_in_a_file_are_an_error(self) -> None:
         self.assertIn('just one of', self.problem(f'{GOOD}\n[agent]\n'))
 
-    def test_every_example_is_good(self) -> None:
+    def test_all_examples_are_valid(self) -> None:
         paths = [
             path for path in EXAMPLES.glob('*/*.toml') if path.stem != 'seed'
         ]
--- a/seampond/templates/__init__.py
+++ b/seampond/templates/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: templates, workspaces, and the generation in force."""
+"""Configuration of templates and workspaces, by generation."""
 
 from seampond.templates.configuration import Configuration as Configuration
 from seampond.templates.models import Parameters as Parameters
--- a/seampond/templates/configuration.py
+++ b/seampond/templates/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: one generation, only upwards."""
+"""Generations of the configuration and the changes between them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
@@ -22,7 +22,7 @@
 
 
 def change_key(generation: int) -> str:
-    """Give the key of the change that made `generation`.
+    """Return the key of the change that created `generation`.
 
     Examples
     --------
@@ -55,12 +55,12 @@
 
 
 def parse_change(content: dict[str, Any]) -> Change:
-    """Read a row of the change log.
+    """Parse a row of the change log.
 
     Raises
     ------
     PlatformError
-        If it is not a change.
+        If the row is not a change.
 
     """
     try:
@@ -74,12 +74,12 @@
 def parse_row(
     model: type[_Row], table: str, key: str, content: dict[str, Any]
 ) -> _Row:
-    """Read a template or a workspace from its row.
+    """Parse a template or a workspace from its row.
 
     Raises
     ------
     PlatformError
-        If the row holds something else.
+        If the row is not valid.
 
     """
     try:
@@ -90,7 +90,7 @@
         ) from error
 
 
-def _changed_map(
+def _apply_to_rows(
     rows: dict[str, _Row], model: type[_Row], change: Change
 ) -> dict[str, _Row]:
     changed = dict(rows)
@@ -105,19 +105,19 @@
 def apply_changes(
     configuration: Configuration, changes: Iterable[Change]
 ) -> Configuration:
-    """Give the configuration after `changes`, which only go upwards.
+    """Return the configuration after `changes`.
 
     Parameters
     ----------
     configuration : Configuration
-        Where to start.
+        The configuration to start from, which is not modified.
     changes : Iterable[Change]
-        In order of generation; those already in force are passed over.
+        In order of generation; those already applied are skipped.
 
     Returns
     -------
     Configuration
-        A new one; the old is untouched.
+        The new configuration.
 
     Examples
     --------
@@ -135,7 +135,7 @@
             configuration = replace(
                 configuration,
                 generation=change.generation,
-                templates=_changed_map(
+                templates=_apply_to_rows(
                     configuration.templates, Template, change
                 ),
             )
@@ -143,7 +143,7 @@
             configuration = replace(
                 configuration,
                 generation=change.generation,
-                workspaces=_changed_map(
+                workspaces=_apply_to_rows(
                     configuration.workspaces, Workspace, change
                 ),
             )
--- a/seampond/templates/edit.py
+++ b/seampond/templates/edit.py
@@ -23,30 +23,30 @@
 )
 
 _TOKEN_BYTES = 16
-_READ_BACK_TRIES = 20
-_READ_BACK_MS = 250
-_COUNTER_TRIES = 50
+_READ_BACK_TRIES_MAX = 20
+_READ_BACK_PAUSE_MS = 250
+_COMMIT_TRIES_MAX = 50
 _PAGE_ROWS = 500
 
 
 class LostEditError(SeampondError):
-    """Another operator changed the row first."""
+    """The row was changed by another operator meanwhile."""
 
 
 class EditUnknownError(SeampondError):
-    """The table service did not say whether the edit took effect."""
+    """It is unknown whether the edit took effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A row's new content and the version the operator started from.
+    """An edit of one row.
 
     Parameters
     ----------
     version : int
-        The row's version that the operator saw; 0 for a new row.
+        Version of the row that the operator edited; 0 for a new row.
     content : dict | None
-        None deletes the row.
+        New content of the row; None deletes it.
 
     """
 
@@ -57,19 +57,19 @@
     author: str
 
 
-async def _describe_race(tables: Tables, edit: Edit, since: int) -> str:
+async def _describe_conflict(tables: Tables, edit: Edit, since: int) -> str:
     rows = await tables.scan(
         CHANGES, change_key(since + 1), LAST_KEY, _PAGE_ROWS
     )
     changes = [parse_change(row.content) for row in rows]
-    mine = [
+    same_row = [
         change
         for change in changes
         if (change.table, change.key) == (edit.table, edit.key)
     ]
-    if not mine:
+    if not same_row:
         return 'it was changed before you started; show it again'
-    last = mine[-1]
+    last = same_row[-1]
     author = last.author or 'somebody'
     outcome = 'deleted it' if last.content is None else f'set {last.content}'
     return f'{author} {outcome} in generation {last.generation}'
@@ -78,14 +78,14 @@
 async def _read_back(
     tables: Tables, clock: Clock, change: Change
 ) -> int | None:
-    """Give the generation that holds our token, None if there is none yet."""
-    for _ in range(_READ_BACK_TRIES):
+    """Return the generation with the change's token, None if there is none."""
+    for _ in range(_READ_BACK_TRIES_MAX):
         try:
             rows = await tables.scan(
                 CHANGES, change_key(change.generation), LAST_KEY, _PAGE_ROWS
             )
         except PlatformError:
-            await clock.sleep(_READ_BACK_MS)
+            await clock.sleep(_READ_BACK_PAUSE_MS)
             continue
         for row in rows:
             found = parse_change(row.content)
@@ -99,7 +99,7 @@
     )
 
 
-def _transaction(
+def _build_transaction(
     edit: Edit, counter: Row | None, change: Change
 ) -> tuple[list[Check], list[Write]]:
     counter_version = counter.version if counter else 0
@@ -115,27 +115,27 @@
     return checks, writes
 
 
-async def _expect_version(tables: Tables, edit: Edit, since: int) -> None:
+async def _require_version(tables: Tables, edit: Edit, since: int) -> None:
     row = await tables.read(edit.table, edit.key)
     version = row.version if row else 0
     if version != edit.version:
-        race = await _describe_race(tables, edit, since)
+        conflict = await _describe_conflict(tables, edit, since)
         raise LostEditError(
             f'{edit.table} {edit.key} is at version {version}, you started '
-            f'from {edit.version}: {race}',
+            f'from {edit.version}: {conflict}',
             step='edit',
         )
 
 
 async def commit_edit(tables: Tables, clock: Clock, edit: Edit) -> int:
-    """Make `edit` and give the generation that holds it.
+    """Commit `edit` and return its generation.
 
     Explanation
     -----------
-    One transaction raises the counter, writes the row and logs the change;
-    it holds only if the row still has the version that the operator saw.
-    An edit whose answer was lost is read back by its token, and sent again
-    only on the same counter, where at most one of the two can hold.
+    One transaction increments the counter, writes the row and logs the
+    change, provided that the row still has the version that was edited.
+    If the outcome is unknown, the change is looked up by its token.  The
+    retry expects the same counter, so that only one of them can succeed.
 
     Returns
     -------
@@ -145,30 +145,30 @@
     Raises
     ------
     LostEditError
-        If another operator changed the row first; says who and what.
+        If another operator changed the row first; names author and change.
     EditUnknownError
-        If the service went silent before it said.
+        If the table service did not confirm or reject the edit.
     PlatformError
-        If the edit surely did not take effect.
+        If the edit did not take effect.
 
     """
     token = secrets.token_hex(_TOKEN_BYTES)
-    started_from = None
-    for _ in range(_COUNTER_TRIES):
+    start_number = None
+    for _ in range(_COMMIT_TRIES_MAX):
         counter = await tables.read(COUNTER_TABLE, COUNTER_KEY)
         number = int(counter.content['number']) if counter else 0
-        started_from = number if started_from is None else started_from
+        start_number = number if start_number is None else start_number
         change = Change(
             number + 1, edit.table, edit.key, edit.content, edit.author, token
         )
-        checks, writes = _transaction(edit, counter, change)
+        checks, writes = _build_transaction(edit, counter, change)
         try:
             await tables.transact(checks, writes)
         except (ConflictError, UnknownOutcomeError):
             generation = await _read_back(tables, clock, change)
             if generation is not None:
                 return generation
-            await _expect_version(tables, edit, started_from)
+            await _require_version(tables, edit, start_number)
         else:
             return change.generation
     raise PlatformError(
--- a/seampond/templates/follow.py
+++ b/seampond/templates/follow.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: changes since ours, or a whole snapshot."""
+"""Following of the configuration by changes or snapshots."""
 
 import logging
 import random
@@ -30,28 +30,28 @@
 
 
 class ConfigurationHolder:
-    """Holds the configuration in force and lets it go only upwards."""
+    """Holds the current configuration, whose generation never decreases."""
 
     def __init__(
         self, promises: Promises, on_change: Callable[[int], None]
     ) -> None:
-        """Start with generation 0, which is no configuration."""
+        """Start with generation 0, the empty configuration."""
         self._promises = promises
         self._on_change = on_change
         self._current = Configuration()
 
     @property
     def current(self) -> Configuration:
-        """The configuration in force."""
+        """The current configuration."""
         return self._current
 
     def take(self, newer: Configuration) -> None:
-        """Put `newer` into force if it is newer.
+        """Make `newer` the current configuration if it is newer.
 
         Raises
         ------
         PromiseError
-            If it is older than what is in force.
+            If it is older than the current configuration.
 
         """
         if newer is self._current:
@@ -83,24 +83,24 @@
 
 
 async def read_generation(tables: Tables) -> int:
-    """Give the newest accepted generation; 0 if there is none."""
+    """Return the newest generation; 0 if there is none."""
     row = await tables.read(COUNTER_TABLE, COUNTER_KEY)
     return int(row.content['number']) if row else 0
 
 
 async def read_snapshot(tables: Tables) -> Configuration:
-    """Read the whole configuration, consistent although read in pages.
+    """Read the whole configuration, page by page.
 
     Explanation
     -----------
-    The counter is read first; rows read after it may already be newer, and
-    the changes since that counter, applied again by the next
-    :func:`read_changes`, bring every row to one generation.
+    The counter is read first, so rows may be newer than the generation.
+    The next :func:`read_changes` applies the changes since that generation
+    again, which makes all rows consistent.
 
     Raises
     ------
     PlatformError
-        If the table service does not answer well.
+        If the table service fails.
 
     """
     generation = await read_generation(tables)
@@ -122,12 +122,12 @@
 async def read_changes(
     tables: Tables, configuration: Configuration
 ) -> Configuration:
-    """Give the newest configuration, starting from `configuration`.
+    """Return the newest configuration, starting from `configuration`.
 
     Explanation
     -----------
-    Reads the changes since our generation, as the name service in [1]_
-    does; where the log no longer reaches back that far, a snapshot.
+    Reads the changes since that generation, as the name service in [1]_
+    does, or a snapshot if the log no longer holds them.
 
     References
     ----------
@@ -156,8 +156,8 @@
 
     Explanation
     -----------
-    Polls with a fifth of jitter, so that many entries do not beat on the
-    service at once.  While the service is down, what is in force stays.
+    Polls with jitter, so that entries do not call the service at the same
+    time.  The current configuration stays while the service is down.
     """
     was_down = False
     while True:
@@ -171,5 +171,5 @@
             was_down = True
         else:
             was_down = False
-        spread = random.uniform(1 - _JITTER, 1 + _JITTER)
-        await clock.sleep(poll_ms * spread)
+        factor = random.uniform(1 - _JITTER, 1 + _JITTER)
+        await clock.sleep(poll_ms * factor)
--- a/seampond/templates/keys.py
+++ b/seampond/templates/keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: made here, kept only as hashes, verified once."""
+"""Creation and verification of callers' keys, stored as hashes only."""
 
 import asyncio
 import hashlib
@@ -14,7 +14,7 @@
 _SECRET_BYTES = 24
 _MEMORY_KIB = 8192
 _TIME_COST = 2
-_CACHE_MAX = 20_000
+_VERIFIED_MAX = 20_000
 _SEPARATOR = '.'
 _hasher = PasswordHasher(
     time_cost=_TIME_COST, memory_cost=_MEMORY_KIB, parallelism=1
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NewKey:
-    """A key, shown once, and the hash to keep."""
+    """A new key, shown once, and the hash to store."""
 
     key: str
     key_hash: str
 
 
 def make_key(workspace: str) -> NewKey:
-    """Make a key for `workspace`.
+    """Create a key for `workspace`.
 
     Examples
     --------
@@ -51,39 +51,39 @@
 
 
 class KeyRing:
-    """Verifies keys; remembers what a verified key hashed to.
+    """Verifies keys and caches the hashes that they matched.
 
     Explanation
     -----------
-    The slow hash is computed once for each key and process; after that a
-    keyed digest of the key finds the hash that it matched, which counts
+    The slow hash is computed once for each key and process.  The cache maps
+    a keyed digest of the key to the hash that it matched, which is valid
     only while the workspace still lists that hash.
     """
 
     def __init__(self) -> None:
-        """Start with nothing verified."""
+        """Create a key ring with an empty cache."""
         self._pepper = secrets.token_bytes(_SECRET_BYTES)
         self._verified: dict[bytes, str] = {}
 
     async def find_workspace(
         self, configuration: Configuration, key: str
     ) -> Workspace | None:
-        """Give the workspace whose key this is, or None."""
+        """Return the workspace that a key belongs to, or None."""
         name = key.partition(_SEPARATOR)[0]
         workspace = configuration.workspaces.get(name)
         if workspace is None:
             return None
         digest = hashlib.blake2b(key.encode(), key=self._pepper).digest()
-        known = self._verified.get(digest)
-        if known is not None and known in workspace.key_hashes:
+        verified_hash = self._verified.get(digest)
+        if verified_hash is not None and verified_hash in workspace.key_hashes:
             return workspace
         for key_hash in workspace.key_hashes:
             if await asyncio.to_thread(_matches, key_hash, key):
-                self._remember(digest, key_hash)
+                self._record_verified(digest, key_hash)
                 return workspace
         return None
 
-    def _remember(self, digest: bytes, key_hash: str) -> None:
-        if len(self._verified) >= _CACHE_MAX:
+    def _record_verified(self, digest: bytes, key_hash: str) -> None:
+        if len(self._verified) >= _VERIFIED_MAX:
             self._verified.clear()
         self._verified[digest] = key_hash
--- a/seampond/templates/models.py
+++ b/seampond/templates/models.py
@@ -1,4 +1,4 @@
-"""Templates and workspaces, validated where they enter the program."""
+"""Validated models of templates and workspaces."""
 
 from typing import Annotated
 
@@ -13,7 +13,7 @@
 
 
 class RowModel(BaseModel):
-    """Base: unknown fields are errors, nothing changes in place."""
+    """Base of immutable models; unknown fields are errors."""
 
     model_config = ConfigDict(extra='forbid', frozen=True)
 
@@ -24,8 +24,8 @@
     Explanation
     -----------
     `kind` is ``model`` for chat completions, ``service`` for calls to a
-    plain service; `pool` names the backend servers that do it.  Work that
-    is not `repeatable` runs at most once for each idempotency key.
+    service; `pool` names the backend servers that run it.  Work that is not
+    `repeatable` runs at most once for each idempotency key.
     """
 
     name: Name
@@ -38,13 +38,13 @@
 
 
 class Parameters(RowModel):
-    """What a workspace set for one template.
+    """Parameters of a workspace for one template.
 
     Explanation
     -----------
-    `tier` 1 is the highest; `requests_per_s` and `tokens_per_s` are what
-    the workspace pays for (prompt tokens); work that `may_wait` is held
-    through a burst in place of being refused.
+    `tier` 1 is the highest; `requests_per_s` and `tokens_per_s` (of prompts)
+    are the rates that the workspace pays for; work that `may_wait` is queued
+    during a burst instead of being refused.
     """
 
     tier: int = Field(ge=HIGHEST_TIER, le=LOWEST_TIER)
@@ -54,7 +54,7 @@
 
 
 class Workspace(RowModel):
-    """A customer's workspace: its key hashes and its parameters."""
+    """A workspace with its key hashes and parameters."""
 
     name: Name
     key_hashes: tuple[str, ...] = ()
--- a/seampond/templates/seed.py
+++ b/seampond/templates/seed.py
@@ -1,4 +1,4 @@
-"""Seed data: templates and workspaces from a TOML file."""
+"""Seeding of templates and workspaces from a TOML file."""
 
 import tomllib
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seed:
-    """What a seed file holds."""
+    """Content of a seed file."""
 
     templates: tuple[Template, ...]
     workspaces: tuple[Workspace, ...]
@@ -35,7 +35,7 @@
     Raises
     ------
     SettingsError
-        With the file and what is wrong in it.
+        If the file is invalid; names the file and the error.
 
     """
     try:
@@ -49,7 +49,7 @@
 
 
 async def apply_seed(tables: Tables, clock: Clock, seed: Seed) -> int:
-    """Write each row that does not exist yet; give the last generation."""
+    """Write each row that does not exist yet; return the last generation."""
     generation = 0
     rows = [(TEMPLATES, row) for row in seed.templates]
     rows += [(WORKSPACES, row) for row in seed.workspaces]  # type: ignore[misc]
--- a/seampond/templates/tests/test_configuration.py
+++ b/seampond/templates/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: edits that race, are lost, and only go upwards."""
+"""Tests of editing the configuration concurrently and of following it."""
 
 import unittest
 from collections.abc import Sequence
@@ -47,11 +47,11 @@
         row = await self.tables.read(TEMPLATES, 'draft')
         return row.version if row else 0
 
-    async def test_each_edit_raises_the_generation_by_one(self) -> None:
+    async def test_each_edit_increments_the_generation(self) -> None:
         self.assertEqual(await self.edit(), 1)
         self.assertEqual(await self.edit(name='other'), 2)
 
-    async def test_the_loser_of_a_race_hears_who_and_what(self) -> None:
+    async def test_edit_of_an_outdated_row_is_rejected(self) -> None:
         await self.edit()
         seen = await self.version()
         await self.edit(seen, 'binu', deadline_ms=5)
@@ -59,7 +59,7 @@
             await self.edit(seen, 'asha', deadline_ms=9)
         self.assertIn('version', str(caught.exception))
 
-    async def test_a_race_inside_the_edit_names_the_other(self) -> None:
+    async def test_concurrent_edit_names_the_other_author(self) -> None:
         await self.edit()
         seen = await self.version()
         port = self.tables
@@ -77,27 +77,27 @@
                 first.append(False)
             await port.transact(checks, writes)
 
-        racing = replace(port, transact=transact)
+        racing_tables = replace(port, transact=transact)
         with self.assertRaises(LostEditError) as caught:
-            await self.edit(seen, 'asha', racing, deadline_ms=9)
+            await self.edit(seen, 'asha', racing_tables, deadline_ms=9)
         self.assertIn('binu', str(caught.exception))
 
-    async def test_edits_of_other_rows_do_not_disturb(self) -> None:
+    async def test_edits_of_other_rows_do_not_conflict(self) -> None:
         port = self.tables
-        left = [3]
+        remaining = [3]
 
         async def transact(
             checks: Sequence[Check], writes: Sequence[Write]
         ) -> None:
-            if left[0]:
-                left[0] -= 1
-                await self.edit(name=f'other-{left[0]}')
+            if remaining[0]:
+                remaining[0] -= 1
+                await self.edit(name=f'other-{remaining[0]}')
             await port.transact(checks, writes)
 
-        busy = replace(port, transact=transact)
-        self.assertEqual(await self.edit(tables=busy), 4)
+        busy_tables = replace(port, transact=transact)
+        self.assertEqual(await self.edit(tables=busy_tables), 4)
 
-    async def test_a_lost_answer_is_read_back_and_not_repeated(self) -> None:
+    async def test_edit_with_a_lost_answer_is_not_repeated(self) -> None:
         port = self.tables
 
         async def transact(
@@ -106,24 +106,24 @@
             await port.transact(checks, writes)
             raise UnknownOutcomeError('lost', step='transact')
 
-        lossy = replace(port, transact=transact)
-        self.assertEqual(await self.edit(tables=lossy), 1)
+        lossy_tables = replace(port, transact=transact)
+        self.assertEqual(await self.edit(tables=lossy_tables), 1)
         self.assertEqual(self.memory.writes, 1)
 
-    async def test_a_write_that_was_lost_is_sent_again(self) -> None:
+    async def test_lost_edit_is_retried(self) -> None:
         port = self.tables
-        left = [1]
+        remaining = [1]
 
         async def transact(
             checks: Sequence[Check], writes: Sequence[Write]
         ) -> None:
-            if left[0]:
-                left[0] -= 1
+            if remaining[0]:
+                remaining[0] -= 1
                 raise UnknownOutcomeError('lost', step='transact')
             await port.transact(checks, writes)
 
-        lossy = replace(port, transact=transact)
-        self.assertEqual(await self.edit(tables=lossy), 1)
+        lossy_tables = replace(port, transact=transact)
+        self.assertEqual(await self.edit(tables=lossy_tables), 1)
 
 
 class FollowTest(EditTest):
@@ -134,7 +134,7 @@
             followed = await read_changes(self.tables, followed)
         self.assertEqual(followed, await read_snapshot(self.tables))
 
-    async def test_a_trimmed_log_means_a_snapshot(self) -> None:
+    async def test_trimmed_log_requires_a_snapshot(self) -> None:
         for number in range(4):
             await self.edit(name=f't-{number}')
         old = Configuration(1)
@@ -143,21 +143,21 @@
         self.assertEqual(newest.generation, 4)
         self.assertEqual(len(newest.templates), 4)
 
-    async def test_a_deleted_template_is_gone(self) -> None:
+    async def test_deleted_template_is_removed(self) -> None:
         await self.edit()
         edit = Edit(TEMPLATES, 'draft', await self.version(), None, 'asha')
         await commit_edit(self.tables, self.clock, edit)
         newest = await read_changes(self.tables, Configuration())
         self.assertEqual(newest, Configuration(2))
 
-    async def test_an_older_generation_is_a_broken_promise(self) -> None:
+    async def test_older_generation_breaks_a_promise(self) -> None:
         holder = ConfigurationHolder(build_promises(), lambda number: None)
         holder.take(Configuration(5))
         with self.assertRaises(PromiseError):
             holder.take(Configuration(4))
         self.assertEqual(holder.current.generation, 5)
 
-    async def test_a_bad_row_leaves_the_configuration_in_force(self) -> None:
+    async def test_invalid_row_is_an_error(self) -> None:
         await self.edit()
         current = await read_changes(self.tables, Configuration())
         await self.edit(name='bad', deadline_ms=-1)
@@ -166,7 +166,7 @@
 
 
 class KeysTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_key_is_found_and_ends_with_its_hash(self) -> None:
+    async def test_key_is_valid_while_its_hash_is_listed(self) -> None:
         made = make_key('trainers')
         ring = KeyRing()
         workspace = Workspace(name='trainers', key_hashes=(made.key_hash,))
@@ -177,6 +177,6 @@
         later = Configuration(2, {}, {'trainers': revoked})
         self.assertIsNone(await ring.find_workspace(later, made.key))
 
-    async def test_the_key_itself_is_not_kept(self) -> None:
+    async def test_key_itself_is_not_stored(self) -> None:
         made = make_key('trainers')
         self.assertNotIn(made.key.partition('.')[2], made.key_hash)
