--- a/seampond/sharing/bucket.py
+++ b/seampond/sharing/bucket.py
@@ -61,8 +61,8 @@
         The bound applies to each window, so the margin is available in each of
         them.  A bucket refilled at the plain rate would grant it only once.
         """
-        most = self.max_grant(tenant) * _FLOW_FRACTION
-        return max(tenant.rate, most * MS_PER_SECOND / self.window_ms)
+        max_units = self.max_grant(tenant) * _FLOW_FRACTION
+        return max(tenant.rate, max_units * MS_PER_SECOND / self.window_ms)
 
     def reserve(self, tenant: Tenant) -> float:
         """Return the units that cover grants not reported yet."""
@@ -136,8 +136,8 @@
 
     def has_ample_level(self, now_ms: int, margin: QuotaMargin) -> bool:
         """Return True if grants need no immediate report to the others."""
-        most = margin.max_grant(self.tenant) * self.reachable_fraction
-        if self.remaining(now_ms, margin) < most * _AMPLE_FRACTION:
+        max_units = margin.max_grant(self.tenant) * self.reachable_fraction
+        if self.remaining(now_ms, margin) < max_units * _AMPLE_FRACTION:
             return False
         ample = self.tenant.burst * self.reachable_fraction * _AMPLE_FRACTION
         return min(self.level, self.partial_level) > ample
@@ -150,12 +150,12 @@
         The amount that silent gateways may have granted grows linearly to their
         fraction of a full window.
         """
-        most = margin.max_grant(self.tenant)
+        max_units = margin.max_grant(self.tenant)
         silent_fraction = min(
             1, (now_ms - self.partition_start_ms) / margin.window_ms
         )
         known_fraction = 1 - (1 - self.reachable_fraction) * silent_fraction
-        return most * known_fraction - self.window.total(now_ms)
+        return max_units * known_fraction - self.window.total(now_ms)
 
     def refill(
         self, now_ms: int, margin: QuotaMargin, reachable_fraction: float
--- a/seampond/sharing/quotas.py
+++ b/seampond/sharing/quotas.py
@@ -17,13 +17,15 @@
 # request is granted, and after.
 _MIN_LEVEL_FRACTION = 0.1
 _DEBT_FRACTION = 0.55
+# Fraction of the burst below which less urgent requests are admitted at random.
 _LOW_LEVEL_FRACTION = 0.25
 # Smaller debt allowed after a start without known levels, since the previous
 # incarnation may have left a full one.
 _STARTUP_DEBT_FRACTION = 0.3
 # Fraction of the margin's units that may stay unreported.
 _URGENT_FRACTION = 0.04
-# Fraction of the reserve that all gateways may grant between two heartbeats.
+# Fraction of the reserve beyond which grants per heartbeat interval lower the
+# units that may stay unreported.
 _INTERVAL_FRACTION = 0.25
 _MAX_WAIT_MS = 10_000
 
@@ -81,7 +83,7 @@
 
     @property
     def uptime_ms(self) -> int:
-        """How long this process has kept its buckets."""
+        """Time since this process started."""
         return self._clock.now() - self._started_ms
 
     def charge(
--- a/seampond/sharing/tests/test_quotas.py
+++ b/seampond/sharing/tests/test_quotas.py
@@ -121,26 +121,26 @@
         """The margin must be available in each window, not just once."""
         fleet = Fleet(4, slack=4000)
         self._apply_load(fleet, 200, _EVEN)
-        given = sum(units for _, units in fleet.given)
+        granted = sum(units for _, units in fleet.given)
         windows = fleet.clock.now() / 1000 / _WINDOW_S
-        self.assertGreater(given / windows, 0.7 * fleet.allowed)
+        self.assertGreater(granted / windows, 0.7 * fleet.allowed)
         self._assert_within_bound(fleet)
 
     def test_no_excess_without_idle_slots(self) -> None:
         """One tenant's excess must not take the slots of waiting requests."""
-        given = {True: 0, False: 0}
-        for has_idle_slots in given:
+        granted = {True: 0, False: 0}
+        for has_idle_slots in granted:
             fleet = Fleet(1, slack=4000)
             for _ in range(400):
                 fleet.beat()
-                given[has_idle_slots] += 50 * sum(
+                granted[has_idle_slots] += 50 * sum(
                     not fleet.quotas['g0'].charge(
                         _TENANT, 50, has_idle_slots=has_idle_slots
                     )
                     for _ in range(10)
                 )
-        self.assertLess(given[False], 1.15 * _RATE * 100)
-        self.assertGreater(given[True], 1.25 * _RATE * 100)
+        self.assertLess(granted[False], 1.15 * _RATE * 100)
+        self.assertGreater(granted[True], 1.25 * _RATE * 100)
 
     def test_changed_limit_starts_new_window(self) -> None:
         """Grants under a higher limit must not block the lower one."""
@@ -149,18 +149,18 @@
             fleet.beat()
             fleet.charge('g0', 250)
         low = Tenant('t', rate=300, burst=300)
-        given: float = 0
+        granted: float = 0
         for _ in range(32):
             fleet.beat()
-            given += 70 * (not fleet.quotas['g0'].charge(low, 70))
-        self.assertGreater(given, 0.9 * 300 * _WINDOW_S)
+            granted += 70 * (not fleet.quotas['g0'].charge(low, 70))
+        self.assertGreater(granted, 0.9 * 300 * _WINDOW_S)
 
     def test_single_gateway_grants_whole_quota(self) -> None:
         """A quota must not be split evenly if one gateway has all requests."""
         fleet = Fleet(4)
         self._apply_load(fleet, 80, _ONE)
-        given = sum(units for _, units in fleet.given)
-        self.assertGreater(given, 0.9 * _RATE * 20)
+        granted = sum(units for _, units in fleet.given)
+        self.assertGreater(granted, 0.9 * _RATE * 20)
 
     def test_disconnected_gateway_stays_within_bound(self) -> None:
         """Neither side of a partition may grant the fraction of the other."""
@@ -175,11 +175,11 @@
         fleet = Fleet(20)
         fleet.beat()
         fleet.disconnected = {'g0'}
-        given: float = 0
+        granted: float = 0
         for _ in range(80):
             fleet.beat()
-            given += 50 * sum(fleet.charge('g1', 50) for _ in range(10))
-        self.assertGreater(given, 0.8 * _RATE * 80 * _BEAT_MS / 1000)
+            granted += 50 * sum(fleet.charge('g1', 50) for _ in range(10))
+        self.assertGreater(granted, 0.8 * _RATE * 80 * _BEAT_MS / 1000)
         self._assert_within_bound(fleet)
 
     def test_partitions_stay_within_bound(self) -> None:
@@ -276,14 +276,14 @@
     def test_large_requests_are_not_crowded_out(self) -> None:
         """Small requests over quota must not starve large ones."""
         fleet = Fleet(4, slack=800)
-        given = [0, 0]
+        granted = [0, 0]
         for turn in range(400):
             if not turn % 4:
                 fleet.beat()
             charge = fleet.quotas[fleet.names[turn % 4]].charge
-            given[0] += not charge(_TENANT, 400)
-            given[1] += not charge(_TENANT, 40)
-        self.assertGreater(given[0], 0.4 * given[1])
+            granted[0] += not charge(_TENANT, 400)
+            granted[1] += not charge(_TENANT, 40)
+        self.assertGreater(granted[0], 0.4 * granted[1])
 
     def test_large_urgent_requests_are_not_crowded_out(self) -> None:
         """Small requests over quota must not starve large urgent ones."""
@@ -296,25 +296,25 @@
     def test_oversized_request_does_not_block_others(self) -> None:
         """No units may be reserved for a request that can never be granted."""
         fleet = Fleet(1)
-        given = 0
+        granted = 0
         for _ in range(40):
             fleet.beat()
             fleet.quotas['g0'].charge(_TENANT, 3 * _BURST, 0)
-            given += not fleet.quotas['g0'].charge(_TENANT, 100, 2)
-        self.assertGreater(given, 30)
+            granted += not fleet.quotas['g0'].charge(_TENANT, 100, 2)
+        self.assertGreater(granted, 30)
 
     def test_urgent_requests_are_preferred(self) -> None:
         """While the level is low, only some less urgent ones are granted."""
         fleet = Fleet(4, slack=800)
-        given = [0, 0]
+        granted = [0, 0]
         for turn in range(400):
             if not turn % 4:
                 fleet.beat()
             charge = fleet.quotas[fleet.names[turn % 4]].charge
-            given[0] += not charge(_TENANT, 200, 0)
-            given[1] += not charge(_TENANT, 200, 2)
-        self.assertGreater(given[0], given[1])
-        self.assertGreater(given[1], 0)
+            granted[0] += not charge(_TENANT, 200, 0)
+            granted[1] += not charge(_TENANT, 200, 2)
+        self.assertGreater(granted[0], granted[1])
+        self.assertGreater(granted[1], 0)
 
     def test_refund(self) -> None:
         """Refunded units must be available again."""
@@ -356,14 +356,14 @@
                     fleet.charge(name, rng.uniform(5, 60))
 
     def _assert_urgent_first(self, fleet: Fleet) -> None:
-        given = [0, 0]
+        granted = [0, 0]
         for turn in range(400):
             if not turn % 4:
                 fleet.beat()
             charge = fleet.quotas[fleet.names[turn % 4]].charge
-            given[0] += not charge(_TENANT, 400, 0)
-            given[1] += not charge(_TENANT, 100, 2)
-        self.assertGreater(given[0], given[1])
+            granted[0] += not charge(_TENANT, 400, 0)
+            granted[1] += not charge(_TENANT, 100, 2)
+        self.assertGreater(granted[0], granted[1])
 
     def _assert_within_bound(self, fleet: Fleet) -> None:
         self.assertLessEqual(fleet.most_in(_WINDOW_S * 1000), fleet.allowed)
--- a/seampond/watches/probe.py
+++ b/seampond/watches/probe.py
@@ -22,9 +22,9 @@
 
     Explanation
     -----------
-    A dead feed cannot be told from a table without changes, but a call that
-    does not wait can.  Its proof is relayed, so usually only the process with
-    the lowest rank has to probe.
+    A dead feed looks like a table without changes; a call that does not wait
+    reveals it.  Its proof is sent to the other processes, so usually only the
+    process with the lowest rank has to probe.
 
     Parameters
     ----------
--- a/seampond/watches/tests/test_watch.py
+++ b/seampond/watches/tests/test_watch.py
@@ -129,9 +129,9 @@
 class RecordingFreshness(TableFreshness):
     """Freshness that records waits instead of waiting."""
 
-    def __init__(self, *words: Any) -> None:
+    def __init__(self, *arguments: Any) -> None:
         """Start without recorded waits."""
-        super().__init__(*words)
+        super().__init__(*arguments)
         self.pauses: list[int] = []
 
     async def wait_until_behind(self, timeout_ms: int) -> None:
