--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -308,7 +308,7 @@
         self.assertEqual(self.requester.outcomes, ['not-reserved'])
 
     def test_gateway_of_older_release_owns_nothing(self) -> None:
-        """Guards against grants of the part that it may be using."""
+        """Guards against grants of what the older gateway may be using."""
         self.advance(_SECOND_MS)
         self.owner.receive_heartbeat(
             self.requester.peers.name, issues_permits=False
@@ -326,7 +326,7 @@
             self.assertGreater(wait_ms, _SECOND_MS / _RATE)
 
     def test_gateway_without_list_owns_nothing(self) -> None:
-        """Guards against an owner that is one of many."""
+        """Guards against grants by many gateways that know no peers."""
         lone_gateway = _Gateway('g3', (), self.clock)
         lone_gateway.peers.has_gateway_list = False
         lone_gateway.report_limit(_RATE)
@@ -385,7 +385,7 @@
                 self.assertEqual(read, message)
 
     def test_older_releases_reject_permit_messages(self) -> None:
-        """Guards against one that is decoded as a heartbeat."""
+        """Guards against a permit message decoded as a heartbeat."""
         packet = encode_permit(
             PermitRequest('g1', 7, 3, LimitReport(1.5, 20), 210)
         )
--- a/seampond/rollouts/rollout.py
+++ b/seampond/rollouts/rollout.py
@@ -9,11 +9,11 @@
 from seampond.rollouts.models import Order, Report, Stage, State, Status, Step
 
 # Shares of an order's duration.  Before the first no version is accepted, since
-# some fail only after a while; after the second one with too few answers for a
-# verdict is, since a pool with little traffic would never be moved otherwise.
+# some fail only after a while.  From the second on a version is accepted even
+# with too few answers for a verdict, so that idle pools are moved too.
 _MIN_TRIAL_SHARE = 0.25
 _MAX_TRIAL_SHARE = 0.5
-# The traffic share doubles at this interval, to leave old streams time to end.
+# The traffic share doubles at this interval; old streams end meanwhile.
 _RAMP_STEP_MS = 400
 _INITIAL_TRAFFIC_SHARE = 0.1
 _ALL_TRAFFIC = 1.0
--- a/seampond/rollouts/tests/__init__.py
+++ b/seampond/rollouts/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of roll-outs."""
+"""Tests of rollouts."""
