--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -35,7 +35,7 @@
     build_route,
     build_server,
     pick,
-    until_true,
+    wait_until,
 )
 from seampond.testing.scripted import (
     Received,
@@ -217,11 +217,11 @@
     async def test_disconnected_caller_cancels_the_attempt(self) -> None:
         """The server connection is closed and nothing is retried."""
         task = asyncio.create_task(self._forward(_accept_silently, _serve))
-        await until_true(lambda: self.sends == 1)
+        await wait_until(lambda: self.sends == 1)
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
-        await until_true(
+        await wait_until(
             lambda: sum(server.left for server in self.servers) == 1
         )
         self.assertEqual(self.sends, 1)
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -22,7 +22,7 @@
     build_route,
     build_server,
     pick,
-    until_true,
+    wait_until,
 )
 
 _STREAM = build_route(kind=RequestKind.stream, target_ms=1000)
@@ -92,7 +92,7 @@
             )
             for name, is_retry in (('first', False), ('again', True))
         ]
-        await until_true(lambda: scheduler.waiting == len(tasks))
+        await wait_until(lambda: scheduler.waiting == len(tasks))
         scheduler.release(backend)
         self.assertIs(await tasks[1], backend)
         self.assertFalse(tasks[0].done())
@@ -116,9 +116,9 @@
             )
             for name, has_streamed in (('fresh', False), ('begun', True))
         ]
-        await until_true(lambda: scheduler.waiting == len(tasks))
+        await wait_until(lambda: scheduler.waiting == len(tasks))
         clock.advance(1000)
-        await until_true(tasks[0].done)
+        await wait_until(tasks[0].done)
         self.assertIsInstance(tasks[0].exception(), Refusal)
         scheduler.release(backend)
         self.assertIs(await tasks[1], backend)
--- a/seampond/gateway/tests/signalling_case.py
+++ b/seampond/gateway/tests/signalling_case.py
@@ -13,8 +13,8 @@
     ConfigurationRow,
     put_configuration,
 )
-from seampond.testing.gateways import until_true
-from seampond.testing.saying import SayingFleet, run_saying
+from seampond.testing.gateways import wait_until
+from seampond.testing.signalling import SignallingFleet, run_signalling
 
 SERVERS = 6
 # 40 requests a second, to the gateways in turn.
@@ -27,17 +27,17 @@
 
     async def open_fleet(
         self, kind: str = IDEMPOTENT, gateways: int = 2, **row: Any
-    ) -> SayingFleet:
+    ) -> SignallingFleet:
         """Start the servers, then the gateways."""
         put_configuration(self.store, ConfigurationRow(kind=kind))
         self.saying = await self.stack.enter_async_context(
-            run_saying(self.store, SERVERS, **row)
+            run_signalling(self.store, SERVERS, **row)
         )
         for server in self.saying.saying:
             server.is_stream = kind == STREAM
         names = [f'g{number}' for number in range(gateways)]
         self.gateways = await asyncio.gather(*map(self.open_gateway, names))
-        await until_true(
+        await wait_until(
             lambda: all(map(self._is_up, self.gateways)), _START_TIMEOUT_S
         )
         return self.saying
@@ -55,7 +55,7 @@
         addresses = [
             gateway.components.settings.listen for gateway in self.gateways
         ]
-        await self.saying.keep_asking(
+        await self.saying.send_requests(
             addresses,
             lambda number: b'%d' % number,
             _REQUEST_INTERVAL_MS,
--- a/seampond/gateway/tests/test_callers.py
+++ b/seampond/gateway/tests/test_callers.py
@@ -5,7 +5,7 @@
 
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.tests.rows import HOST, ID_HEADER, KEY
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import Received
 
 _IDLE_CONNECTIONS = 300
@@ -29,17 +29,17 @@
         self.list_server(slots=1)
         scheduler = gateway.components.scheduler
         backends = gateway.components.backends
-        await until_true(
+        await wait_until(
             lambda: all(backend.server.slots == 1 for backend in backends)
         )
         first = asyncio.create_task(self.ask(gateway))
-        await until_true(lambda: len(self.server.received) == 1)
+        await wait_until(lambda: len(self.server.received) == 1)
         second = await self._send_request(
             gateway.components.settings.listen, 'r2'
         )
-        await until_true(lambda: scheduler.waiting == 1)
+        await wait_until(lambda: scheduler.waiting == 1)
         second.transport.abort()
-        await until_true(lambda: scheduler.waiting == 0)
+        await wait_until(lambda: scheduler.waiting == 0)
         is_free.set()
         response = await first
         self.assertEqual(response.status_code, 200)
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -28,9 +28,9 @@
 from seampond.testing.crashing import (
     CRASHING_BODY,
     CrashingFleet,
-    run_crashing,
+    run_crashing_fleet,
 )
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 
 _SERVERS = 6
 _RUN_MS = 9000
@@ -54,7 +54,7 @@
         """Start the servers, then the gateways."""
         put_configuration(self.store, ConfigurationRow(kind=kind))
         fleet = await self.stack.enter_async_context(
-            run_crashing(self.store, _SERVERS, **row)
+            run_crashing_fleet(self.store, _SERVERS, **row)
         )
         for server in fleet.servers:
             server.is_stream = kind == STREAM
@@ -73,7 +73,7 @@
             )
             for name in ('g1', 'g2')
         ]
-        await until_true(lambda: all(map(_is_up, gateways)))
+        await wait_until(lambda: all(map(_is_up, gateways)))
         return gateways
 
     async def drive(
@@ -88,11 +88,11 @@
         addresses = [gateway.components.settings.listen for gateway in gateways]
         async with asyncio.TaskGroup() as group:
             group.create_task(
-                fleet.keep_asking(addresses, _make_harmless_body, 50, for_ms)
+                fleet.send_requests(addresses, _make_harmless_body, 50, for_ms)
             )
             for body, every_ms in extra:
                 group.create_task(
-                    fleet.keep_asking(
+                    fleet.send_requests(
                         addresses, _same_body(body), every_ms, for_ms
                     )
                 )
@@ -132,7 +132,7 @@
         crashes_before = len(fleet.ends_ms)
         await self.gateways_stack.aclose()
         gateways = await self.start_gateways()
-        await until_true(lambda: all(map(_has_quarantined_body, gateways)))
+        await wait_until(lambda: all(map(_has_quarantined_body, gateways)))
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=3000)
         self.assertEqual(len(fleet.ends_ms), crashes_before)
 
@@ -165,7 +165,7 @@
         self.assertTrue(first.quarantine.suspects.list_crash_reports())
         self.assertTrue(apply_heartbeat)
         crashes_before = len(fleet.ends_ms)
-        await until_true(second.quarantine.suspects.list_crash_reports)
+        await wait_until(second.quarantine.suspects.list_crash_reports)
         await self.drive(fleet, gateways[1:], (CRASHING_BODY, 250), for_ms=1500)
         self.assertEqual(len(fleet.ends_ms), crashes_before)
 
@@ -221,7 +221,7 @@
         )
         # One, and at most one more at each of the two gateways.
         self.assertLessEqual(len(fleet.ends_ms), 3)
-        self.assertGreaterEqual(fleet.served_part(since_ms), _SERVED_FRACTION)
+        self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
 
     async def _check_kind(self, kind: str) -> None:
         fleet, gateways = await self.open_fleet(kind)
@@ -233,7 +233,7 @@
             fleet.count_late_sends(_PROPAGATION_MS), _LATE_SENDS_MAX
         )
         self.assertLessEqual(len(fleet.ends_ms), _CRASHES_MAX)
-        served = fleet.served_part(since_ms + _STEADY_AFTER_MS)
+        served = fleet.served_share(since_ms + _STEADY_AFTER_MS)
         self.assertGreaterEqual(served, _SERVED_FRACTION)
 
 
@@ -249,7 +249,7 @@
             fleet, gateways, (b'popular', 50), for_ms=_SHORT_RUN_MS
         )
         self.assertGreaterEqual(len(fleet.ends_ms), 5)
-        served = fleet.served_part(since_ms + _STEADY_AFTER_MS)
+        served = fleet.served_share(since_ms + _STEADY_AFTER_MS)
         self.assertEqual(served, 1)
 
     async def test_popular_body_is_served_beside_a_faulty_server(self) -> None:
@@ -259,7 +259,7 @@
         since_ms = await self.drive(
             fleet, gateways, (b'popular', 50), for_ms=_SHORT_RUN_MS
         )
-        served = fleet.served_part(since_ms + _STEADY_AFTER_MS)
+        served = fleet.served_share(since_ms + _STEADY_AFTER_MS)
         self.assertEqual(served, 1)
 
 
--- a/seampond/gateway/tests/test_draining.py
+++ b/seampond/gateway/tests/test_draining.py
@@ -12,7 +12,7 @@
     put_configuration,
 )
 from seampond.settings.gateway import BoundSettings
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import Received
 
 _DRAIN_MS = 600
@@ -29,7 +29,7 @@
         gateway = await self.start_ready()
         backends = gateway.components.backends
         self.list_server(state='draining')
-        await until_true(
+        await wait_until(
             lambda: not any(backend.takes_work for backend in backends)
         )
         self.store.is_down = True
@@ -46,7 +46,7 @@
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
         backends = gateway.components.backends
-        await until_true(
+        await wait_until(
             lambda: not any(backend.takes_work for backend in backends)
         )
         response = await self.ask(gateway)
@@ -59,7 +59,7 @@
         drop_server(self.store, 'i-1')
         backends = gateway.components.backends
         clock = gateway.components.clock
-        await until_true(
+        await wait_until(
             lambda: not any(backend.takes_work for backend in backends)
         )
         await clock.sleep(_DRAIN_MS)
@@ -73,12 +73,12 @@
         gateway = await self.start_ready(bounds=bounds)
         drop_server(self.store, 'i-1')
         backends = gateway.components.backends
-        await until_true(
+        await wait_until(
             lambda: not any(backend.takes_work for backend in backends)
         )
         await gateway.components.clock.sleep(_DRAIN_MS)
         self.list_server()
-        await until_true(
+        await wait_until(
             lambda: any(backend.takes_work for backend in backends)
         )
         response = await self.ask(gateway)
@@ -105,7 +105,7 @@
         """If all gateways stop, callers still reach them."""
         gateway = await self.start_ready()
         asked = asyncio.create_task(self.ask(gateway))
-        await until_true(lambda: len(self.server.received) == 1)
+        await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
         await gateway.components.clock.sleep(
             3 * gateway.components.settings.linger_ms
@@ -124,9 +124,9 @@
         bounds = BoundSettings(stop_ms=_SHORT_STOP_MS)
         gateway = await self.start_ready(bounds=bounds)
         asked = asyncio.create_task(self.ask(gateway))
-        await until_true(lambda: len(self.server.received) == 1)
+        await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
-        await until_true(lambda: not gateway.components.is_ready)
+        await wait_until(lambda: not gateway.components.is_ready)
         response = await self.ask(gateway, request_id='r2')
         self.assertEqual(response.status_code, HTTPStatus.SERVICE_UNAVAILABLE)
         self.assertGreater(float(response.headers['retry-after']), 0)
@@ -142,9 +142,9 @@
             self.store, ConfigurationRow(version=2, kind='streaming')
         )
         admission = gateway.components.web.admission
-        await until_true(lambda: admission.version == 2)
+        await wait_until(lambda: admission.version == 2)
         asked = asyncio.create_task(self.ask(gateway))
-        await until_true(lambda: len(self.server.received) == 1)
+        await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
         await gateway.components.clock.sleep(
             2 * gateway.components.settings.linger_ms
--- a/seampond/gateway/tests/test_freshness_metrics.py
+++ b/seampond/gateway/tests/test_freshness_metrics.py
@@ -2,7 +2,7 @@
 
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.names import CONFIGURATION_TABLE
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.watches import FreshnessProof
 
 _LATER_MS = 1_000_000_000
@@ -26,5 +26,5 @@
         self.store.is_down = True
         freshness = gateway.components.freshness[CONFIGURATION_TABLE]
         freshness.apply_proof(FreshnessProof(freshness.version + 1, _LATER_MS))
-        await until_true(lambda: read('table_missing_seconds', **labels))
+        await wait_until(lambda: read('table_missing_seconds', **labels))
         self.assertTrue(read('configuration_proof_age_seconds'))
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -38,7 +38,7 @@
     StoreSettings,
 )
 from seampond.sharing import Heartbeat, hash_name
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import (
     Received,
     ScriptedServer,
@@ -121,7 +121,7 @@
         put_configuration(self.store)
         self.list_server()
         gateway = await self.start(**changes)
-        await until_true(
+        await wait_until(
             lambda: (
                 gateway.components.is_ready
                 and gateway.components.web.admission.is_proved
@@ -229,8 +229,8 @@
         put_configuration(self.store, row)
         self.list_server()
         gateway = await self.start()
-        await until_true(lambda: gateway.components.is_ready)
-        await until_true(lambda: gateway.components.web.admission.is_proved)
+        await wait_until(lambda: gateway.components.is_ready)
+        await wait_until(lambda: gateway.components.web.admission.is_proved)
         for _ in range(8):
             self.assertEqual((await self.ask(gateway)).status_code, 200)
 
@@ -239,7 +239,7 @@
         first = await self.start_ready()
         second = await self.start(name='g2')
         peers = [gateway.components.peers for gateway in (first, second)]
-        await until_true(
+        await wait_until(
             lambda: all(peer_list.all_reachable for peer_list in peers)
         )
         self.assertEqual([peer_list.count for peer_list in peers], [2, 2])
@@ -250,10 +250,10 @@
         peers = first.components.peers
         settings = build_settings(self.store.address, name='g2')
         async with run_gateway(settings, Clock()) as second:
-            await until_true(lambda: peers.count == 2 and peers.all_reachable)
+            await wait_until(lambda: peers.count == 2 and peers.all_reachable)
             second_peers = second.components.peers
-            await until_true(lambda: second_peers.registration_version)
-        await until_true(lambda: peers.count == 1 and peers.all_reachable)
+            await wait_until(lambda: second_peers.registration_version)
+        await wait_until(lambda: peers.count == 1 and peers.all_reachable)
         self.assertTrue(is_gateway_removed(self.store, 'g2'))
 
     async def test_refused_requests_reach_no_server(self) -> None:
@@ -282,7 +282,7 @@
         gateway = await self.start_ready()
         row = ConfigurationRow(version=3, keys=('k2',))
         put_configuration(self.store, row)
-        await until_true(lambda: gateway.components.web.admission.version == 3)
+        await wait_until(lambda: gateway.components.web.admission.version == 3)
         self.assertEqual((await self.ask(gateway)).status_code, 401)
         put_configuration(self.store, ConfigurationRow(version=2))
         await asyncio.sleep(0.1)
@@ -295,13 +295,13 @@
         store = StoreSettings(address=self.store.address, wait_ms=200)
         gateway = await self.start_ready(bounds=bounds, store=store)
         admission = gateway.components.web.admission
-        await until_true(lambda: _age_ms(admission) < 400)
+        await wait_until(lambda: _age_ms(admission) < 400)
         self.assertEqual((await self.ask(gateway)).status_code, 200)
         self.store.is_down = True
-        await until_true(lambda: _age_ms(admission) > 800)
+        await wait_until(lambda: _age_ms(admission) > 800)
         self.assertEqual((await self.ask(gateway)).status_code, 503)
         self.store.is_down = False
-        await until_true(lambda: _age_ms(admission) < 800)
+        await wait_until(lambda: _age_ms(admission) < 800)
         self.assertEqual((await self.ask(gateway)).status_code, 200)
 
     async def test_proof_of_another_gateway_is_accepted(self) -> None:
@@ -309,7 +309,7 @@
         gateway = await self.start_ready()
         put_gateway(self.store, 'g2')
         components, clock = gateway.components, self.store.clock
-        await until_true(lambda: components.peers.count == 2)
+        await wait_until(lambda: components.peers.count == 2)
         self.store.is_down = True
         admission = components.web.admission
         changed = read_configuration_version(self.store)
@@ -338,18 +338,18 @@
         gateway = await self.start_ready()
         backends = gateway.components.backends
         self.list_server(state='draining')
-        await until_true(
+        await wait_until(
             lambda: not any(backend.takes_work for backend in backends)
         )
         response = await self.ask(gateway)
         self.assertEqual(response.status_code, 503)
         self.list_server('i-2')
-        await until_true(
+        await wait_until(
             lambda: any(backend.takes_work for backend in backends)
         )
         self.assertEqual((await self.ask(gateway)).status_code, 200)
         drop_server(self.store, 'i-2')
-        await until_true(
+        await wait_until(
             lambda: not any(backend.takes_work for backend in backends)
         )
         self.assertEqual(len(self.server.received), 1)
@@ -367,9 +367,9 @@
         self.serve = wait_then_serve  # type: ignore[method-assign]
         gateway = await self.start_ready()
         asked = asyncio.create_task(self.ask(gateway))
-        await until_true(lambda: len(self.server.received) == 1)
+        await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
-        await until_true(lambda: not gateway.components.is_ready)
+        await wait_until(lambda: not gateway.components.is_ready)
         release.set()
         response = await asked
         self.assertEqual(response.status_code, 200)
--- a/seampond/gateway/tests/test_limits.py
+++ b/seampond/gateway/tests/test_limits.py
@@ -11,7 +11,7 @@
     put_configuration,
     put_gateway,
 )
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import Received
 
 _SHORT_TIMEOUT_MS = 150
@@ -33,7 +33,7 @@
         gateway = await self.start_ready()
         row = ConfigurationRow(version=2, limits=limits)
         put_configuration(self.store, row)
-        await until_true(lambda: gateway.components.web.admission.version == 2)
+        await wait_until(lambda: gateway.components.web.admission.version == 2)
         return gateway
 
     async def send(
@@ -116,10 +116,10 @@
         gateway = await self.start()
         put_gateway(self.store, 'g2')
         components = gateway.components
-        await until_true(
+        await wait_until(
             lambda: components.is_ready and components.web.admission.is_proved
         )
-        await until_true(lambda: components.peers.count == 2)
+        await wait_until(lambda: components.peers.count == 2)
         asked = [
             asyncio.create_task(self.ask(gateway, request_id=f'r{number}'))
             for number in range(6)
--- a/seampond/gateway/tests/test_relaying.py
+++ b/seampond/gateway/tests/test_relaying.py
@@ -7,7 +7,7 @@
 from seampond.platform.names import SERVERS_TABLE
 from seampond.platform.tests.rows import POOL, put_gateway
 from seampond.sharing import Heartbeat, RelayedPage, hash_name
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.watches import Page, Row
 
 _OTHERS = 40
@@ -24,7 +24,7 @@
         for name in names:
             put_gateway(self.store, name)
         peers = gateway.components.peers
-        await until_true(lambda: peers.count == _OTHERS + 1)
+        await wait_until(lambda: peers.count == _OTHERS + 1)
         for name in names:
             self.assertTrue(peers.apply_heartbeat(Heartbeat(name, 1, 1)))
         self.assertFalse(peers.is_follower)
@@ -35,7 +35,7 @@
         gateway = await self.start_after_others()
         components = gateway.components
         watch = components.watches[SERVERS_TABLE]
-        await until_true(lambda: not watch.is_unconfirmed)
+        await wait_until(lambda: not watch.is_unconfirmed)
         since = components.freshness[SERVERS_TABLE].version
         content = {
             'service': POOL,
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -21,7 +21,7 @@
 from seampond.rollouts import Stage
 from seampond.rollouts.rollout import Rollout
 from seampond.tasks import run_tasks
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import (
     Received,
     ScriptedServer,
@@ -85,7 +85,7 @@
             running = run_gateway(settings, Clock())
             gateway = await self.fleet.enter_async_context(running)
             self.gateways.append(gateway)
-        await until_true(lambda: all(map(_is_connected, self.gateways)))
+        await wait_until(lambda: all(map(_is_connected, self.gateways)))
 
     async def serve(
         self, request: Received, writer: asyncio.StreamWriter
@@ -130,7 +130,7 @@
 
     async def until_state(self, state: str) -> None:
         """Wait until the store has this state of the order."""
-        await until_true(
+        await wait_until(
             lambda: read_state(self.store) == (state, _NEW), _TIMEOUT_S
         )
 
@@ -141,14 +141,14 @@
         await asyncio.sleep(0.5)
         self.order_rollout()
         await self.until_state('running')
-        await until_true(
+        await wait_until(
             lambda: any(
                 rollout.proved_ms is not None for rollout in self.running
             ),
             _TIMEOUT_S,
         )
         self.is_held = True
-        await until_true(
+        await wait_until(
             lambda: any(
                 rollout.stage is Stage.closed for rollout in self.running
             ),
@@ -163,7 +163,7 @@
         drop_server(self.store, 'i-1')
         before = len(self.server.received)
         self.answers.clear()
-        await until_true(lambda: len(self.answers) > 20)
+        await wait_until(lambda: len(self.answers) > 20)
         self.assertEqual(set(self.answers), {200})
         self.assertEqual(len(self.server.received), before)
 
@@ -176,7 +176,7 @@
         exposed = len(self.new_server.received)
         self.assertLess(exposed, 15)
         self.answers.clear()
-        await until_true(lambda: len(self.answers) > 20)
+        await wait_until(lambda: len(self.answers) > 20)
         self.assertLessEqual(len(self.new_server.received), exposed + 1)
         self.assertEqual(set(self.answers), {200})
 
@@ -191,7 +191,7 @@
         """Once it gets a larger share of the requests."""
         await asyncio.sleep(0.5)
         self.order_rollout()
-        await until_true(
+        await wait_until(
             lambda: any(
                 rollout.proved_ms is not None for rollout in self.running
             ),
@@ -213,10 +213,10 @@
             put_order(self.store, '', _DURATION_S)
             put_order(self.store, _NEW, -1)
             put_order(self.store, _NEW, _DURATION_S, service='other')
-            await until_true(lambda: len(logs.records) >= 2)
+            await wait_until(lambda: len(logs.records) >= 2)
         self.assertEqual(read_state(self.store), ('', ''))
         self.answers.clear()
-        await until_true(lambda: len(self.answers) > 10)
+        await wait_until(lambda: len(self.answers) > 10)
         self.assertEqual(set(self.answers), {200})
 
     async def test_order_continues_after_a_restart_of_all_gateways(
@@ -236,7 +236,7 @@
         await self.until_state('running')
         self.store.is_down = True
         self.new_status = HTTPStatus.INTERNAL_SERVER_ERROR
-        await until_true(
+        await wait_until(
             lambda: all(rollout.is_rejected for rollout in self.running),
             _TIMEOUT_S,
         )
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -25,7 +25,7 @@
 from seampond.sharing import Peers
 from seampond.sharing.transport import apply_gateway_rows
 from seampond.testing.builders import build_promises
-from seampond.testing.gateways import ZONE, build_backends, pick, until_true
+from seampond.testing.gateways import ZONE, build_backends, pick, wait_until
 from seampond.watches import Page, Row
 
 _VALID: MappingProxyType[str, Any] = MappingProxyType(
@@ -244,5 +244,5 @@
             self.store.put(SERVERS_TABLE, f'b-{number}', content)
             self.store.put(GATEWAYS_TABLE, f'g-{number}', content)
             put_server(self.store, f'i-{number}', self.server.address)
-            await until_true(partial(backends.get, f'i-{number}'))
+            await wait_until(partial(backends.get, f'i-{number}'))
         self.assertEqual((await self.ask(gateway)).status_code, 200)
--- a/seampond/gateway/tests/test_server_limits.py
+++ b/seampond/gateway/tests/test_server_limits.py
@@ -9,8 +9,8 @@
 from seampond.clock import MS_PER_SECOND
 from seampond.gateway.tests.signalling_case import SERVERS, SignallingCase
 from seampond.platform.tests.rows import IDEMPOTENT, ONCE, STREAM
-from seampond.testing.limited import Limited
-from seampond.testing.saying import SayingFleet
+from seampond.testing.limit_checks import LimitCheck
+from seampond.testing.signalling import SignallingFleet
 
 _RUN_MS = 9000
 _PROPAGATION_MS = 2500
@@ -28,12 +28,12 @@
 
     async def open_fleet(
         self, kind: str = IDEMPOTENT, gateways: int = 2, **row: Any
-    ) -> SayingFleet:
+    ) -> SignallingFleet:
         """Start the servers, then the gateways."""
         fleet = await super().open_fleet(kind, gateways, **row)
         for server in fleet.saying:
             server.run_ms = _SERVICE_MS
-        self.limited = Limited(fleet, _PROPAGATION_MS)
+        self.limited = LimitCheck(fleet, _PROPAGATION_MS)
         return fleet
 
 
@@ -81,7 +81,7 @@
         self.assertGreater(before, 1 / SERVERS)
         fleet.saying[0].limit = '1.5'
         await self.drive(6000)
-        self.assertLessEqual(self.limited.worst_part(), 1)
+        self.assertLessEqual(self.limited.worst_share(), 1)
         fleet.saying[0].limit = ''
         await self.drive(4000)
         after = self._share(await self.drive(3000))
@@ -95,7 +95,7 @@
             # Long enough for all slots to be needed.
             server.run_ms = 500
         since_ms = await self.drive(2000)
-        self.assertEqual(fleet.served_part(since_ms), 1)
+        self.assertEqual(fleet.served_share(since_ms), 1)
         for server in fleet.saying:
             self.assertGreater(len(server.arrivals), 4)
 
@@ -108,9 +108,9 @@
     async def _check(self, limit: str) -> None:
         self.saying.saying[0].limit = limit
         since_ms = await self.drive(_RUN_MS)
-        self.assertLessEqual(self.limited.worst_part(), 1)
+        self.assertLessEqual(self.limited.worst_share(), 1)
         self.assertGreaterEqual(
-            self.saying.served_part(since_ms), _SERVED_FRACTION
+            self.saying.served_share(since_ms), _SERVED_FRACTION
         )
 
 
@@ -139,8 +139,8 @@
         await self.drive(4000)
         self._set_limits('1')
         since_ms = await self.drive(_RUN_MS)
-        self.assertLessEqual(self.limited.worst_part(), 1)
-        used = self.limited.used_part(
+        self.assertLessEqual(self.limited.worst_share(), 1)
+        used = self.limited.used_share(
             since_ms + _PROPAGATION_MS, fleet.clock.now()
         )
         self.assertGreaterEqual(used, _USED_FRACTION)
@@ -152,8 +152,8 @@
     async def _check(self, limit: str) -> None:
         self._set_limits(limit)
         since_ms = await self.drive(_RUN_MS)
-        self.assertLessEqual(self.limited.worst_part(), 1)
+        self.assertLessEqual(self.limited.worst_share(), 1)
         known_ms = since_ms + MS_PER_SECOND
-        used = self.limited.used_part(known_ms, since_ms + _RUN_MS)
+        used = self.limited.used_share(known_ms, since_ms + _RUN_MS)
         self.assertGreaterEqual(used, _USED_FRACTION)
         self.check_refusals(known_ms, _REFUSAL_MAX_MS)
--- a/seampond/gateway/tests/test_server_signals.py
+++ b/seampond/gateway/tests/test_server_signals.py
@@ -10,7 +10,7 @@
 from seampond.gateway.tests.signalling_case import SignallingCase
 from seampond.platform import names
 from seampond.platform.tests.rows import IDEMPOTENT, ONCE, STREAM
-from seampond.testing.saying import SayingFleet
+from seampond.testing.signalling import SignallingFleet
 
 _DRAIN_MS = 2000
 _RUN_MS = 5000
@@ -29,7 +29,7 @@
 
     async def open_fleet(
         self, kind: str = IDEMPOTENT, gateways: int = 2, **row: Any
-    ) -> SayingFleet:
+    ) -> SignallingFleet:
         """Start the servers, then the gateways."""
         fleet = await super().open_fleet(kind, gateways, **row)
         fleet.saying[0].run_ms = _FAST_MS
@@ -68,7 +68,7 @@
         since_ms = await self.drive(_RUN_MS)
         self.assertEqual(fleet.count_sends_to_leaving(_DRAIN_MS), 0)
         self.check_refusals(since_ms, _REFUSAL_MAX_MS)
-        self.assertLess(fleet.served_part(since_ms + _DRAIN_MS), 0.5)
+        self.assertLess(fleet.served_share(since_ms + _DRAIN_MS), 0.5)
 
     async def test_server_restarts_under_its_id(self) -> None:
         """Its next incarnation is not draining, so it is used."""
@@ -86,13 +86,13 @@
             send.life for send in fleet.sent if send.server == first.id
         }
         self.assertEqual(len(incarnations), 2)
-        self.assertGreaterEqual(fleet.served_part(since_ms), _SERVED_FRACTION)
+        self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
 
-    async def _check(self, fleet: SayingFleet) -> None:
+    async def _check(self, fleet: SignallingFleet) -> None:
         fleet.saying[0].leaves = True
         since_ms = await self.drive(_RUN_MS)
         self.assertEqual(fleet.count_sends_to_leaving(_DRAIN_MS), 0)
-        self.assertGreaterEqual(fleet.served_part(since_ms), _SERVED_FRACTION)
+        self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
 
 
 class BackoffSignalTest(SignalsCase):
@@ -106,8 +106,8 @@
             server.is_full = True
             server.rest = str(_BACKOFF_S)
         since_ms = await self.drive(_BACKOFF_RUN_MS)
-        self.assertLessEqual(fleet.count_unwanted_sends(), _UNWANTED_MAX)
-        self.assertGreaterEqual(fleet.served_part(since_ms), _SERVED_FRACTION)
+        self.assertLessEqual(fleet.max_sends_in_backoff(), _UNWANTED_MAX)
+        self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
         for server in overloaded:
             server.is_full = False
         since_ms = await self.drive(_BACKOFF_S * MS_PER_SECOND)
@@ -121,7 +121,7 @@
             server.is_full = True
             server.rest = str(_BACKOFF_S)
         since_ms = await self.drive(2000)
-        self.assertLessEqual(fleet.count_unwanted_sends(), _UNWANTED_MAX)
+        self.assertLessEqual(fleet.max_sends_in_backoff(), _UNWANTED_MAX)
         # After each server has stated its back-off to both gateways.
         self.check_refusals(since_ms, _REFUSAL_MAX_MS)
         for caller in fleet.asked:
@@ -138,12 +138,14 @@
             self.assertLess(caller.head_ms + retry_ms, backoff_end_ms + 1500)
 
 
-async def _drain_in_row(fleet: SayingFleet, after_ms: int) -> None:
+async def _drain_in_row(fleet: SignallingFleet, after_ms: int) -> None:
     await fleet.clock.sleep(after_ms)
     fleet.saying[0].put_row(state=names.DRAINING_STATE)
 
 
-def _backoff_end_ms(fleet: SayingFleet, gateway: str, server_id: str) -> int:
+def _backoff_end_ms(
+    fleet: SignallingFleet, gateway: str, server_id: str
+) -> int:
     """Return when a gateway may send to a server again."""
     gateways = {caller.request_id: caller.gateway for caller in fleet.asked}
     return max(
--- a/seampond/gateway/tests/test_stale_configuration.py
+++ b/seampond/gateway/tests/test_stale_configuration.py
@@ -9,7 +9,7 @@
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.names import CONFIGURATION_TABLE
 from seampond.platform.tests.rows import ConfigurationRow, put_configuration
-from seampond.testing.gateways import until_true
+from seampond.testing.gateways import wait_until
 from seampond.watches import FreshnessProof
 
 _TENANTS = 2000
@@ -30,13 +30,13 @@
         self.store.is_down = True
         # The change ends the waiting call; later calls fail.
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: gateway.components.is_store_unreachable)
+        await wait_until(lambda: gateway.components.is_store_unreachable)
         for version in range(3, _VERSIONS):
             row = ConfigurationRow(version=version, other_tenants=_TENANTS)
             put_configuration(self.store, row)
         self.store.bytes_per_s = _BYTES_PER_S
         self.store.is_down = False
-        await until_true(lambda: admission.version == _VERSIONS - 1, _TIMEOUT_S)
+        await wait_until(lambda: admission.version == _VERSIONS - 1, _TIMEOUT_S)
 
     async def test_stale_gateway_does_not_deny_callers(self) -> None:
         """The route or key may be new, so callers are told to retry."""
@@ -54,7 +54,7 @@
         self.assertEqual(response.status_code, HTTPStatus.OK)
         self.store.is_down = False
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: not freshness.is_behind)
+        await wait_until(lambda: not freshness.is_behind)
         for path, key, status in (
             ('/new/', 'k1', HTTPStatus.NOT_FOUND),
             ('/x/y', 'new', HTTPStatus.UNAUTHORIZED),
--- a/seampond/gateway/tests/test_store_restores.py
+++ b/seampond/gateway/tests/test_store_restores.py
@@ -14,7 +14,7 @@
     put_configuration,
     put_server,
 )
-from seampond.testing.gateways import pick, until_true
+from seampond.testing.gateways import pick, wait_until
 
 _WRITES = 30
 _DRAINING = 'draining'
@@ -26,7 +26,7 @@
     async def open(self) -> RunningGateway:
         """Start the gateway and record the time of the backup."""
         gateway = await self.start_ready()
-        await until_true(lambda: gateway.components.peers.registration_version)
+        await wait_until(lambda: gateway.components.peers.registration_version)
         await asyncio.sleep(0.05)
         self.backup_ms = self.store.clock.now()
         await asyncio.sleep(0.05)
@@ -55,18 +55,18 @@
         gateway = await self.open()
         self.write_other_rows()
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: self.version_of(gateway) == 2)
+        await wait_until(lambda: self.version_of(gateway) == 2)
         await self.restore_store()
         put_configuration(self.store, ConfigurationRow(version=3))
         put_server(self.store, 'i-2', self.server.address)
-        await until_true(lambda: self.version_of(gateway) == 3, 3)
-        await until_true(lambda: gateway.components.backends.get('i-2'), 3)
+        await wait_until(lambda: self.version_of(gateway) == 3, 3)
+        await wait_until(lambda: gateway.components.backends.get('i-2'), 3)
 
     async def test_older_configuration_is_not_applied(self) -> None:
         """The newer one stays until it is replaced."""
         gateway = await self.open()
         put_configuration(self.store, ConfigurationRow(version=2))
-        await until_true(lambda: self.version_of(gateway) == 2)
+        await wait_until(lambda: self.version_of(gateway) == 2)
         await self.restore_store()
         for _ in range(20):
             await asyncio.sleep(0.05)
@@ -80,17 +80,17 @@
         self.write_other_rows()
         await self.restore_store(0.1)
         put_configuration(self.store, ConfigurationRow(version=3))
-        await until_true(lambda: self.version_of(gateway) == 3, 3)
+        await wait_until(lambda: self.version_of(gateway) == 3, 3)
 
     async def test_drained_server_stays_drained(self) -> None:
         """Although its restored row says that it is ready."""
         gateway = await self.open()
         self.list_server(state=_DRAINING)
         backend = pick(gateway.components.backends, 'i-1')
-        await until_true(lambda: not backend.takes_work)
+        await wait_until(lambda: not backend.takes_work)
         await self.restore_store()
         put_server(self.store, 'i-2', self.server.address)
-        await until_true(lambda: gateway.components.backends.get('i-2'), 3)
+        await wait_until(lambda: gateway.components.backends.get('i-2'), 3)
         self.assertFalse(backend.takes_work)
 
     async def test_gateway_registers_again(self) -> None:
@@ -102,7 +102,7 @@
         await asyncio.sleep(0.05)
         self.list_server()
         gateway = await self.start()
-        await until_true(lambda: gateway.components.peers.registration_version)
+        await wait_until(lambda: gateway.components.peers.registration_version)
         await self.restore_store()
         self.assertTrue(is_gateway_removed(self.store, 'g1'))
-        await until_true(lambda: not is_gateway_removed(self.store, 'g1'), 4)
+        await wait_until(lambda: not is_gateway_removed(self.store, 'g1'), 4)
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -26,7 +26,7 @@
     read_state,
 )
 from seampond.suspension import SuspensionAwareLoop, watch_suspension
-from seampond.testing.gateways import pick, until_true
+from seampond.testing.gateways import pick, wait_until
 from seampond.testing.scripted import Received, make_chunk, write_chunks
 
 _JUMPS_S = (2, 10, 60)
@@ -243,13 +243,13 @@
     ) -> None:
         name = f'i-{number}'
         self.list_server(name)
-        await until_true(lambda: gateway.components.backends.get(name), 3)
+        await wait_until(lambda: gateway.components.backends.get(name), 3)
         put_configuration(self.store, ConfigurationRow(version=number))
         admission = gateway.components.web.admission
-        await until_true(lambda: admission.version == number, 3)
+        await wait_until(lambda: admission.version == number, 3)
 
     async def _until_state(self, state: str, target: str) -> None:
-        await until_true(lambda: read_state(self.store) == (state, target), 10)
+        await wait_until(lambda: read_state(self.store) == (state, target), 10)
 
     async def _request_status(self, gateway: RunningGateway) -> int:
         """Return the status of a request."""
@@ -275,7 +275,7 @@
 
     async def _until_proved(self, gateway: RunningGateway) -> None:
         admission = gateway.components.web.admission
-        await until_true(
+        await wait_until(
             lambda: gateway.components.is_ready and admission.is_proved
         )
 
--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class Delivery:
     """A request that reached a server, and when.
 
     Parameters
@@ -81,7 +81,7 @@
     store: StandInStore
     clock: Clock
     is_deadly: Callable[[bytes], bool]
-    note: Callable[[Sent], None]
+    note: Callable[[Delivery], None]
     ends_ms: list[int] = field(default_factory=list)
     caused_ms: list[int] = field(default_factory=list)
     resets: bool = False
@@ -157,8 +157,8 @@
         self._open.discard(writer)
         writer.close()
 
-    def _note(self, request: Received) -> Sent:
-        sent = Sent(
+    def _note(self, request: Received) -> Delivery:
+        sent = Delivery(
             self.clock.now(),
             self.id,
             request.body,
@@ -192,7 +192,7 @@
 
 
 @dataclass
-class SentRequest:
+class CallerRequest:
     """A request of a caller: when it was sent and how it ended, 0 for a cut.
 
     Parameters
@@ -223,8 +223,8 @@
     store: StandInStore
     clock: Clock
     servers: list[CrashingServer] = field(default_factory=list)
-    sent: list[Sent] = field(default_factory=list)
-    asked: list[SentRequest] = field(default_factory=list)
+    sent: list[Delivery] = field(default_factory=list)
+    asked: list[CallerRequest] = field(default_factory=list)
     deadly: Callable[[bytes], bool] = CRASHING_BODY.__eq__
     patience_ms: int = 1500
     _client: aiosonic.HTTPClient = field(
@@ -249,7 +249,7 @@
             one.at_ms > since_ms and self.deadly(one.body) for one in self.sent
         )
 
-    def served_part(self, since_ms: int) -> float:
+    def served_share(self, since_ms: int) -> float:
         """Give the part of the sound requests that got their answer."""
         sound = [
             one
@@ -261,7 +261,7 @@
     async def ask(self, address: str, body: bytes) -> int:
         """Send a request as a caller; give the status, 0 if it was cut."""
         request_id = f'r{next(self._ids)}'
-        asked = SentRequest(self.clock.now(), body, address, request_id)
+        asked = CallerRequest(self.clock.now(), body, address, request_id)
         self.asked.append(asked)
         headers = {
             'Host': HOST,
@@ -285,7 +285,7 @@
                 asked.status = response.status_code
         return asked.status
 
-    async def keep_asking(
+    async def send_requests(
         self,
         addresses: Sequence[str],
         make_body: Callable[[int], bytes],
@@ -304,7 +304,7 @@
 
 
 @asynccontextmanager
-async def run_crashing(
+async def run_crashing_fleet(
     store: StandInStore, count: int, **row: Any
 ) -> AsyncIterator[CrashingFleet]:
     """Run servers that end under `CRASHING_BODY` until the end."""
--- a/seampond/testing/gateway_soak.py
+++ b/seampond/testing/gateway_soak.py
@@ -29,8 +29,8 @@
     unpack_build,
     wait_ready,
 )
-from seampond.testing.limited import Limited
-from seampond.testing.saying import SayingFleet, run_saying
+from seampond.testing.limit_checks import LimitCheck
+from seampond.testing.signalling import SignallingFleet, run_signalling
 from seampond.testing.soak_faults import (
     FAULTS,
     LATER_FAULTS,
@@ -64,7 +64,7 @@
     wrong: list[str] = field(default_factory=list)
 
 
-def _find_wrong_requests(fleet: SayingFleet, kind: str) -> list[str]:
+def _find_wrong_requests(fleet: SignallingFleet, kind: str) -> list[str]:
     """Hold each request against what its caller was told."""
     sends = Counter(one.body for one in fleet.sent)
     # What a server has turned away may go to another one.
@@ -86,7 +86,7 @@
 
 
 def _find_wrong(
-    fleet: SayingFleet, kind: str, calm_ms: int, report: SoakReport
+    fleet: SignallingFleet, kind: str, calm_ms: int, report: SoakReport
 ) -> list[str]:
     """Hold what callers and servers have seen against the promises."""
     wrong = _find_wrong_requests(fleet, kind)
@@ -94,12 +94,12 @@
         wrong.append(f'{report.late_sends} late sends of what ends servers')
     if fleet.count_sends_to_leaving(_DRAIN_MS):
         wrong.append('sends to a server that had said that it leaves')
-    part = Limited(fleet, _CONTACT_MS).worst_part()
+    part = LimitCheck(fleet, _CONTACT_MS).worst_share()
     if part > 1:
         wrong.append(f'{part:.2f} of what a limit allows')
-    if fleet.count_unwanted_sends() > _UNWANTED_MAX:
+    if fleet.max_sends_in_backoff() > _UNWANTED_MAX:
         wrong.append('sends to a server that wanted rest')
-    served = fleet.served_part(calm_ms)
+    served = fleet.served_share(calm_ms)
     if served < _SERVED_PART:
         wrong.append(f'served {served:.2f} after the faults')
     return wrong
@@ -156,7 +156,7 @@
             (_make_deadly, 350),
         ):
             group.create_task(
-                fleet.keep_asking(addresses, make_body, every_ms, whole_ms)
+                fleet.send_requests(addresses, make_body, every_ms, whole_ms)
             )
 
 
@@ -192,7 +192,7 @@
     for_ms = round(plan.seconds * MS_PER_SECOND)
     async with (
         run_store() as store,
-        run_saying(store, _SERVERS, CRASHING_BODY.__eq__) as fleet,
+        run_signalling(store, _SERVERS, CRASHING_BODY.__eq__) as fleet,
         run_gateways(folder, store, plan.earlier) as gateways,
     ):
         configuration = ConfigurationRow(kind=kind)
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -198,7 +198,7 @@
     return backend
 
 
-async def until_true(holds: Any, seconds: float = 5) -> None:
+async def wait_until(holds: Any, seconds: float = 5) -> None:
     """Wait for a state; fails if it does not come."""
     async with asyncio.timeout(seconds):
         while not holds():
--- a/seampond/testing/limited.py
+++ b/seampond/testing/limit_checks.py
@@ -5,7 +5,11 @@
 
 from seampond.clock import MS_PER_SECOND
 from seampond.forwarding.server_signals import parse_limit
-from seampond.testing.saying import Arrival, SayingFleet, SayingServer
+from seampond.testing.signalling import (
+    Arrival,
+    SignallingFleet,
+    SignallingServer,
+)
 
 _WINDOW_MS = 4000
 _LEEWAY = 1.5
@@ -15,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Limited:
+class LimitCheck:
     """What servers with a limit got, as a fleet has seen it.
 
     Parameters
@@ -25,10 +29,10 @@
 
     """
 
-    fleet: SayingFleet
+    fleet: SignallingFleet
     contact_ms: int
 
-    def worst_part(self) -> float:
+    def worst_share(self) -> float:
         """Give the worst window's requests as a part of what is allowed."""
         lives = itertools.chain.from_iterable(
             map(_split_lives, self.fleet.saying)
@@ -36,7 +40,7 @@
         parts = itertools.chain.from_iterable(map(self._parts, lives))
         return max(parts, default=0)
 
-    def used_part(self, since_ms: int, until_ms: int) -> float:
+    def used_share(self, since_ms: int, until_ms: int) -> float:
         """Give what reached the servers as a part of their limits' sum."""
         seconds = (until_ms - since_ms) / MS_PER_SECOND
         limits = (parse_limit(one.limit) or 0 for one in self.fleet.saying)
@@ -95,7 +99,7 @@
         )
 
 
-def _split_lives(server: SayingServer) -> list[list[Arrival]]:
+def _split_lives(server: SignallingServer) -> list[list[Arrival]]:
     """Give what came in each life while a limit was named.
 
     Explanation
--- a/seampond/testing/saying.py
+++ b/seampond/testing/signalling.py
@@ -16,7 +16,7 @@
     LAST_CHUNK,
     CrashingFleet,
     CrashingServer,
-    Sent,
+    Delivery,
     run_servers,
 )
 from seampond.testing.scripted import Received, write_answer, write_chunks
@@ -31,10 +31,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejection:
     """A send that its server answered with a wish for rest."""
 
-    sent: Sent
+    sent: Delivery
     rest_ms: int
 
 
@@ -51,13 +51,13 @@
 
     """
 
-    sent: Sent
+    sent: Delivery
     limit: str
     answered_ms: int = 0
 
 
 @dataclass
-class SayingServer(CrashingServer):
+class SignallingServer(CrashingServer):
     """One server, and what it says in its answers.
 
     Parameters
@@ -75,9 +75,9 @@
         Of how many requests it turns one away, 0 for none.
     arrivals : list[Arrival]
         What reached it.
-    told_leave : list[Sent]
+    told_leave : list[Delivery]
         Sends that were answered with a word of its leave.
-    not_run : list[Sent]
+    not_run : list[Delivery]
         Sends that it has turned away.
 
     """
@@ -88,9 +88,9 @@
     limit: str = ''
     full_every: int = 0
     arrivals: list[Arrival] = field(default_factory=list)
-    turned_away: list[TurnedAway] = field(default_factory=list)
-    told_leave: list[Sent] = field(default_factory=list)
-    not_run: list[Sent] = field(default_factory=list)
+    turned_away: list[Rejection] = field(default_factory=list)
+    told_leave: list[Delivery] = field(default_factory=list)
+    not_run: list[Delivery] = field(default_factory=list)
     _row_left: int = -1
 
     @property
@@ -142,14 +142,17 @@
         return self.is_full
 
     def _turn_away(
-        self, sent: Sent, headers: dict[str, str], writer: asyncio.StreamWriter
+        self,
+        sent: Delivery,
+        headers: dict[str, str],
+        writer: asyncio.StreamWriter,
     ) -> None:
         headers[_NOT_RUN_HEADER] = '1'
         self.not_run.append(sent)
         if self.rest:
             headers[_RETRY_AFTER] = self.rest
             rest_ms = round(float(self.rest) * MS_PER_SECOND)
-            self.turned_away.append(TurnedAway(sent, rest_ms))
+            self.turned_away.append(Rejection(sent, rest_ms))
         writer.write(write_answer(503, headers))
 
     async def _serve_whole(
@@ -166,7 +169,7 @@
 
 
 @dataclass
-class SayingFleet(CrashingFleet):
+class SignallingFleet(CrashingFleet):
     """Such servers, their callers, and what both have seen.
 
     Parameters
@@ -177,7 +180,7 @@
 
     """
 
-    saying: list[SayingServer] = field(default_factory=list)
+    saying: list[SignallingServer] = field(default_factory=list)
     struck_ms: dict[str, list[int]] = field(default_factory=dict)
 
     def count_sends_to_leaving(self, drain_ms: int) -> int:
@@ -212,11 +215,11 @@
         )
         return Counter(one.body for one in self.sent) - not_run
 
-    def count_unwanted_sends(self) -> int:
+    def max_sends_in_backoff(self) -> int:
         """Give the most sends from one gateway inside one time of rest."""
         return max(self._unwanted(), default=0)
 
-    def list_turned_away(self) -> list[TurnedAway]:
+    def list_turned_away(self) -> list[Rejection]:
         """Give the sends that were answered with a wish for rest."""
         lists = (server.turned_away for server in self.saying)
         return list(itertools.chain.from_iterable(lists))
@@ -248,7 +251,7 @@
             )
 
 
-def _binding(sent: Sent, gateway: str) -> tuple[str, str, int]:
+def _binding(sent: Delivery, gateway: str) -> tuple[str, str, int]:
     return gateway, sent.server, sent.life
 
 
@@ -258,17 +261,17 @@
 
 
 @asynccontextmanager
-async def run_saying(
+async def run_signalling(
     store: StandInStore,
     count: int,
     is_deadly: Callable[[bytes], bool] = _never,
     **row: Any,
-) -> AsyncIterator[SayingFleet]:
+) -> AsyncIterator[SignallingFleet]:
     """Run such servers until the end of the `with`."""
     clock = Clock()
-    fleet = SayingFleet(store, clock, deadly=is_deadly)
+    fleet = SignallingFleet(store, clock, deadly=is_deadly)
     fleet.saying.extend(
-        SayingServer(
+        SignallingServer(
             f'i-{number}',
             store,
             clock,
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -12,7 +12,7 @@
 from seampond.platform.names import DRAINING_STATE, READY_STATE, SERVERS_TABLE
 from seampond.platform.tests.rows import ConfigurationRow, put_configuration
 from seampond.testing.gateway_processes import GatewayProcess
-from seampond.testing.saying import SayingFleet
+from seampond.testing.signalling import SignallingFleet
 from seampond.testing.store import StandInStore
 
 # How long a server says that it leaves before its row does, and after it.
@@ -31,7 +31,7 @@
     """What faults may strike."""
 
     gateways: Sequence[GatewayProcess]
-    fleet: SayingFleet
+    fleet: SignallingFleet
     store: StandInStore
     rng: random.Random
     clock: Clock
