--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -33,7 +33,7 @@
     ('of it: quotas', 'quotas.py:apply_heartbeat'),
     ('of it: loads', 'update_remote_loads'),
     ('of it: sum of loads', 'loads.py:replace'),
-    ('make a heartbeat', 'parts.py:make_heartbeat'),
+    ('make a heartbeat', 'components.py:make_heartbeat'),
     ('encode it', 'heartbeats.py:encode'),
     ('send datagrams', 'sendto'),
     ('answers of the store', 'watch.py:_step'),
