--- a/seampond/gateway/tests/signalling_case.py
+++ b/seampond/gateway/tests/signalling_case.py
@@ -30,17 +30,17 @@
     ) -> SignallingFleet:
         """Start the servers, then the gateways."""
         put_configuration(self.store, ConfigurationRow(kind=kind))
-        self.saying = await self.stack.enter_async_context(
+        self.fleet = await self.stack.enter_async_context(
             run_signalling(self.store, SERVERS, **row)
         )
-        for server in self.saying.saying:
+        for server in self.fleet.signalling_servers:
             server.is_stream = kind == STREAM
         names = [f'g{number}' for number in range(gateways)]
         self.gateways = await asyncio.gather(*map(self.open_gateway, names))
         await wait_until(
             lambda: all(map(self._is_up, self.gateways)), _START_TIMEOUT_S
         )
-        return self.saying
+        return self.fleet
 
     async def open_gateway(self, name: str) -> RunningGateway:
         """Start a gateway, which ends with the test."""
@@ -51,11 +51,11 @@
 
     async def drive(self, for_ms: int) -> int:
         """Send requests for some time; return when that began."""
-        since_ms = self.saying.clock.now()
+        since_ms = self.fleet.clock.now()
         addresses = [
             gateway.components.settings.listen for gateway in self.gateways
         ]
-        await self.saying.send_requests(
+        await self.fleet.send_requests(
             addresses,
             lambda number: b'%d' % number,
             _REQUEST_INTERVAL_MS,
@@ -65,7 +65,7 @@
 
     def check_refusals(self, since_ms: int, soon_ms: int) -> None:
         """Check that unserved requests are refused soon with a retry time."""
-        for caller in self.saying.asked:
+        for caller in self.fleet.caller_requests:
             if caller.at_ms >= since_ms and caller.status != HTTPStatus.OK:
                 self.assertEqual(caller.status, HTTPStatus.SERVICE_UNAVAILABLE)
                 self.assertLessEqual(caller.head_ms - caller.at_ms, soon_ms)
--- a/seampond/gateway/tests/test_crashing.py
+++ b/seampond/gateway/tests/test_crashing.py
@@ -129,18 +129,18 @@
         """All gateways are replaced; the quarantine is in the store."""
         fleet, gateways = await self.open_fleet()
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=2000)
-        crashes_before = len(fleet.ends_ms)
+        crashes_before = len(fleet.crash_times_ms)
         await self.gateways_stack.aclose()
         gateways = await self.start_gateways()
         await wait_until(lambda: all(map(_has_quarantined_body, gateways)))
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=3000)
-        self.assertEqual(len(fleet.ends_ms), crashes_before)
+        self.assertEqual(len(fleet.crash_times_ms), crashes_before)
 
     async def test_restart_during_a_store_outage(self) -> None:
         """Requests wait until the trials are loaded, not the configuration."""
         fleet, gateways = await self.open_fleet()
         await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=2000)
-        crashes_before = len(fleet.ends_ms)
+        crashes_before = len(fleet.crash_times_ms)
         await self.gateways_stack.aclose()
         self.store.is_down = True
         starting = asyncio.create_task(self.start_gateways())
@@ -148,7 +148,7 @@
         self.store.is_down = False
         gateways = await starting
         await self.drive(fleet, gateways, (CRASHING_BODY, 50), for_ms=1500)
-        self.assertEqual(len(fleet.ends_ms), crashes_before)
+        self.assertEqual(len(fleet.crash_times_ms), crashes_before)
 
     async def test_isolated_gateway_learns_of_the_quarantine(self) -> None:
         """Crash reports are repeated as long as the quarantine lasts."""
@@ -164,34 +164,36 @@
         self.assertEqual(second.quarantine.suspects.list_crash_reports(), [])
         self.assertTrue(first.quarantine.suspects.list_crash_reports())
         self.assertTrue(apply_heartbeat)
-        crashes_before = len(fleet.ends_ms)
+        crashes_before = len(fleet.crash_times_ms)
         await wait_until(second.quarantine.suspects.list_crash_reports)
         await self.drive(fleet, gateways[1:], (CRASHING_BODY, 250), for_ms=1500)
-        self.assertEqual(len(fleet.ends_ms), crashes_before)
+        self.assertEqual(len(fleet.crash_times_ms), crashes_before)
 
     async def test_requests_on_a_crashed_server_are_retried(self) -> None:
         """Twenty harmless requests on each server are all answered."""
         fleet, gateways = await self.open_fleet(slots=64)
-        fleet.patience_ms = 4000
+        fleet.timeout_ms = 4000
         for server in fleet.servers:
-            server.run_ms = 800
+            server.service_ms = 800
         addresses = [gateway.components.settings.listen for gateway in gateways]
         bodies = [
             _make_harmless_body(number) for number in range(20 * _SERVERS)
         ]
         asked = []
         for body in bodies:
-            asked.append(asyncio.create_task(fleet.ask(addresses[0], body)))
+            asked.append(
+                asyncio.create_task(fleet.send_request(addresses[0], body))
+            )
             await asyncio.sleep(0.004)
-        await fleet.ask(addresses[0], CRASHING_BODY)
+        await fleet.send_request(addresses[0], CRASHING_BODY)
         statuses = [await request for request in asked]
         answered = statuses.count(HTTPStatus.OK)
         self.assertGreaterEqual(answered, _SERVED_FRACTION * len(asked))
         for server in fleet.servers:
-            server.run_ms = 50
+            server.service_ms = 50
         for body, status in zip(bodies, statuses, strict=True):
             if status != HTTPStatus.OK:
-                again = await fleet.ask(addresses[1], body)
+                again = await fleet.send_request(addresses[1], body)
                 self.assertEqual(again, HTTPStatus.OK)
 
     async def test_quarantine_ends_when_a_trial_succeeds(self) -> None:
@@ -200,13 +202,13 @@
         with patch.object(trials, 'TRIAL_PAUSES_MS', pauses_ms):
             fleet, gateways = await self.open_fleet()
             await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=900)
-            crashes_before = len(fleet.ends_ms)
-            fleet.deadly = _never
+            crashes_before = len(fleet.crash_times_ms)
+            fleet.crashes_on = _never
             await self.drive(fleet, gateways, (CRASHING_BODY, 250), for_ms=3000)
-        self.assertEqual(len(fleet.ends_ms), crashes_before)
+        self.assertEqual(len(fleet.crash_times_ms), crashes_before)
         for gateway in gateways:
             self.assertEqual(len(gateway.components.quarantine.suspects), 0)
-            status = await fleet.ask(
+            status = await fleet.send_request(
                 gateway.components.settings.listen, CRASHING_BODY
             )
             self.assertEqual(status, HTTPStatus.OK)
@@ -220,7 +222,7 @@
             fleet, gateways, (CRASHING_BODY, 250), for_ms=2500
         )
         # One, and at most one more at each of the two gateways.
-        self.assertLessEqual(len(fleet.ends_ms), 3)
+        self.assertLessEqual(len(fleet.crash_times_ms), 3)
         self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
 
     async def _check_kind(self, kind: str) -> None:
@@ -232,7 +234,7 @@
         self.assertLessEqual(
             fleet.count_late_sends(_PROPAGATION_MS), _LATE_SENDS_MAX
         )
-        self.assertLessEqual(len(fleet.ends_ms), _CRASHES_MAX)
+        self.assertLessEqual(len(fleet.crash_times_ms), _CRASHES_MAX)
         served = fleet.served_share(since_ms + _STEADY_AFTER_MS)
         self.assertGreaterEqual(served, _SERVED_FRACTION)
 
@@ -248,14 +250,14 @@
         since_ms = await self.drive(
             fleet, gateways, (b'popular', 50), for_ms=_SHORT_RUN_MS
         )
-        self.assertGreaterEqual(len(fleet.ends_ms), 5)
+        self.assertGreaterEqual(len(fleet.crash_times_ms), 5)
         served = fleet.served_share(since_ms + _STEADY_AFTER_MS)
         self.assertEqual(served, 1)
 
     async def test_popular_body_is_served_beside_a_faulty_server(self) -> None:
         """One server of six resets all its connections."""
         fleet, gateways = await self.open_fleet()
-        fleet.servers[0].resets = True
+        fleet.servers[0].resets_connections = True
         since_ms = await self.drive(
             fleet, gateways, (b'popular', 50), for_ms=_SHORT_RUN_MS
         )
--- a/seampond/gateway/tests/test_server_limits.py
+++ b/seampond/gateway/tests/test_server_limits.py
@@ -31,8 +31,8 @@
     ) -> SignallingFleet:
         """Start the servers, then the gateways."""
         fleet = await super().open_fleet(kind, gateways, **row)
-        for server in fleet.saying:
-            server.run_ms = _SERVICE_MS
+        for server in fleet.signalling_servers:
+            server.service_ms = _SERVICE_MS
         self.limited = LimitCheck(fleet, _PROPAGATION_MS)
         return fleet
 
@@ -63,7 +63,7 @@
     async def test_that_also_turns_requests_away(self) -> None:
         """Requests that it rejects count towards its limit."""
         fleet = await self.open_fleet(gateways=4)
-        fleet.saying[0].full_every = 2
+        fleet.signalling_servers[0].reject_every = 2
         await self._check('1.5')
 
     async def test_that_takes_nothing(self) -> None:
@@ -75,14 +75,14 @@
         """Four seconds later the server has its full share again."""
         fleet = await self.open_fleet()
         # The server that gateways prefer.
-        fleet.saying[0].run_ms = _FAST_SERVICE_MS
+        fleet.signalling_servers[0].service_ms = _FAST_SERVICE_MS
         await self.drive(1000)
         before = self._share(await self.drive(2000))
         self.assertGreater(before, 1 / SERVERS)
-        fleet.saying[0].limit = '1.5'
+        fleet.signalling_servers[0].limit = '1.5'
         await self.drive(6000)
         self.assertLessEqual(self.limited.worst_share(), 1)
-        fleet.saying[0].limit = ''
+        fleet.signalling_servers[0].limit = ''
         await self.drive(4000)
         after = self._share(await self.drive(3000))
         self.assertGreater(after, before / 2)
@@ -90,27 +90,31 @@
     async def test_what_cannot_be_read_is_no_limit(self) -> None:
         """The answer is forwarded, and the server is used as before."""
         fleet = await self.open_fleet()
-        for server, text in zip(fleet.saying, _UNREADABLE, strict=False):
+        for server, text in zip(
+            fleet.signalling_servers, _UNREADABLE, strict=False
+        ):
             server.limit = text
             # Long enough for all slots to be needed.
-            server.run_ms = 500
+            server.service_ms = 500
         since_ms = await self.drive(2000)
         self.assertEqual(fleet.served_share(since_ms), 1)
-        for server in fleet.saying:
+        for server in fleet.signalling_servers:
             self.assertGreater(len(server.arrivals), 4)
 
     def _share(self, since_ms: int) -> float:
         """Return the first server's share of the requests sent."""
-        first = self.saying.saying[0].id
-        sent = [send for send in self.saying.sent if send.at_ms >= since_ms]
+        first = self.fleet.signalling_servers[0].id
+        sent = [
+            send for send in self.fleet.deliveries if send.at_ms >= since_ms
+        ]
         return sum(send.server == first for send in sent) / len(sent)
 
     async def _check(self, limit: str) -> None:
-        self.saying.saying[0].limit = limit
+        self.fleet.signalling_servers[0].limit = limit
         since_ms = await self.drive(_RUN_MS)
         self.assertLessEqual(self.limited.worst_share(), 1)
         self.assertGreaterEqual(
-            self.saying.served_share(since_ms), _SERVED_FRACTION
+            self.fleet.served_share(since_ms), _SERVED_FRACTION
         )
 
 
@@ -146,7 +150,7 @@
         self.assertGreaterEqual(used, _USED_FRACTION)
 
     def _set_limits(self, limit: str) -> None:
-        for server in self.saying.saying:
+        for server in self.fleet.signalling_servers:
             server.limit = limit
 
     async def _check(self, limit: str) -> None:
--- a/seampond/gateway/tests/test_server_signals.py
+++ b/seampond/gateway/tests/test_server_signals.py
@@ -32,7 +32,7 @@
     ) -> SignallingFleet:
         """Start the servers, then the gateways."""
         fleet = await super().open_fleet(kind, gateways, **row)
-        fleet.saying[0].run_ms = _FAST_MS
+        fleet.signalling_servers[0].service_ms = _FAST_MS
         return fleet
 
 
@@ -57,41 +57,43 @@
     async def test_in_answers_that_reject_requests(self) -> None:
         """The server is full and has not run them."""
         fleet = await self.open_fleet()
-        fleet.saying[0].is_full = True
+        fleet.signalling_servers[0].is_overloaded = True
         await self._check(fleet)
 
     async def test_all_servers_are_draining(self) -> None:
         """Callers are refused soon, with a retry time."""
         fleet = await self.open_fleet()
-        for server in fleet.saying:
-            server.leaves = True
+        for server in fleet.signalling_servers:
+            server.is_draining = True
         since_ms = await self.drive(_RUN_MS)
-        self.assertEqual(fleet.count_sends_to_leaving(_DRAIN_MS), 0)
+        self.assertEqual(fleet.count_sends_after_drain(_DRAIN_MS), 0)
         self.check_refusals(since_ms, _REFUSAL_MAX_MS)
         self.assertLess(fleet.served_share(since_ms + _DRAIN_MS), 0.5)
 
     async def test_server_restarts_under_its_id(self) -> None:
         """Its next incarnation is not draining, so it is used."""
         fleet = await self.open_fleet()
-        first = fleet.saying[0]
-        first.leaves = True
+        first = fleet.signalling_servers[0]
+        first.is_draining = True
         # Long enough for all slots to be needed.
-        for server in fleet.saying:
-            server.run_ms = 400
+        for server in fleet.signalling_servers:
+            server.service_ms = 400
         await self.drive(500)
-        first.leaves = False
+        first.is_draining = False
         first.crash()
         since_ms = await self.drive(2500)
         incarnations = {
-            send.life for send in fleet.sent if send.server == first.id
+            send.incarnation
+            for send in fleet.deliveries
+            if send.server == first.id
         }
         self.assertEqual(len(incarnations), 2)
         self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
 
     async def _check(self, fleet: SignallingFleet) -> None:
-        fleet.saying[0].leaves = True
+        fleet.signalling_servers[0].is_draining = True
         since_ms = await self.drive(_RUN_MS)
-        self.assertEqual(fleet.count_sends_to_leaving(_DRAIN_MS), 0)
+        self.assertEqual(fleet.count_sends_after_drain(_DRAIN_MS), 0)
         self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
 
 
@@ -101,36 +103,38 @@
     async def test_some_servers_need_a_backoff(self) -> None:
         """The others serve meanwhile; these are used again afterwards."""
         fleet = await self.open_fleet()
-        overloaded = fleet.saying[:2]
+        overloaded = fleet.signalling_servers[:2]
         for server in overloaded:
-            server.is_full = True
-            server.rest = str(_BACKOFF_S)
+            server.is_overloaded = True
+            server.retry_after = str(_BACKOFF_S)
         since_ms = await self.drive(_BACKOFF_RUN_MS)
         self.assertLessEqual(fleet.max_sends_in_backoff(), _UNWANTED_MAX)
         self.assertGreaterEqual(fleet.served_share(since_ms), _SERVED_FRACTION)
         for server in overloaded:
-            server.is_full = False
+            server.is_overloaded = False
         since_ms = await self.drive(_BACKOFF_S * MS_PER_SECOND)
-        used = {send.server for send in fleet.sent if send.at_ms > since_ms}
+        used = {
+            send.server for send in fleet.deliveries if send.at_ms > since_ms
+        }
         self.assertLessEqual({server.id for server in overloaded}, used)
 
     async def test_all_servers_need_a_backoff(self) -> None:
         """Callers may retry when the first back-off ends."""
         fleet = await self.open_fleet()
-        for server in fleet.saying:
-            server.is_full = True
-            server.rest = str(_BACKOFF_S)
+        for server in fleet.signalling_servers:
+            server.is_overloaded = True
+            server.retry_after = str(_BACKOFF_S)
         since_ms = await self.drive(2000)
         self.assertLessEqual(fleet.max_sends_in_backoff(), _UNWANTED_MAX)
         # After each server has stated its back-off to both gateways.
         self.check_refusals(since_ms, _REFUSAL_MAX_MS)
-        for caller in fleet.asked:
+        for caller in fleet.caller_requests:
             if caller.at_ms < since_ms + MS_PER_SECOND:
                 continue
             retry_ms = float(caller.headers['retry-after']) * MS_PER_SECOND
             backoff_end_ms = min(
                 _backoff_end_ms(fleet, caller.gateway, server.id)
-                for server in fleet.saying
+                for server in fleet.signalling_servers
             )
             self.assertGreaterEqual(
                 caller.head_ms + retry_ms, backoff_end_ms - 50
@@ -140,17 +144,19 @@
 
 async def _drain_in_row(fleet: SignallingFleet, after_ms: int) -> None:
     await fleet.clock.sleep(after_ms)
-    fleet.saying[0].put_row(state=names.DRAINING_STATE)
+    fleet.signalling_servers[0].put_row(state=names.DRAINING_STATE)
 
 
 def _backoff_end_ms(
     fleet: SignallingFleet, gateway: str, server_id: str
 ) -> int:
     """Return when a gateway may send to a server again."""
-    gateways = {caller.request_id: caller.gateway for caller in fleet.asked}
+    gateways = {
+        caller.request_id: caller.gateway for caller in fleet.caller_requests
+    }
     return max(
-        turned.sent.at_ms + turned.rest_ms
-        for turned in fleet.list_turned_away()
-        if turned.sent.server == server_id
-        and gateways[turned.sent.request_id] == gateway
+        turned.delivery.at_ms + turned.backoff_ms
+        for turned in fleet.list_rejections()
+        if turned.delivery.server == server_id
+        and gateways[turned.delivery.request_id] == gateway
     )
--- a/seampond/gateway/tests/test_soak.py
+++ b/seampond/gateway/tests/test_soak.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from seampond.testing.gateway_processes import unpack_build
-from seampond.testing.gateway_soak import SoakPlan, soak
+from seampond.testing.gateway_soak import SoakPlan, run_soak
 from seampond.testing.soak_faults import LATER_FAULTS, LIMIT_FAULTS
 
 _SEED = 1
@@ -27,7 +27,9 @@
     def test_promises_hold(self) -> None:
         """As observed by callers and servers."""
         with tempfile.TemporaryDirectory() as folder:
-            report = asyncio.run(soak(Path(folder), SoakPlan(_SEED, _SECONDS)))
+            report = asyncio.run(
+                run_soak(Path(folder), SoakPlan(_SEED, _SECONDS))
+            )
         self.assertEqual(report.wrong, [])
         self.assertTrue(report.faults)
 
@@ -35,7 +37,7 @@
         """Also with restores of the store."""
         plan = SoakPlan(_SEED, _LONG_SECONDS, LATER_FAULTS)
         with tempfile.TemporaryDirectory() as folder:
-            report = asyncio.run(soak(Path(folder), plan))
+            report = asyncio.run(run_soak(Path(folder), plan))
         self.assertEqual(report.wrong, [])
         self.assertTrue(report.faults)
 
@@ -43,7 +45,7 @@
         """Servers state limits, change them and withdraw them."""
         plan = SoakPlan(_SEED, _LONG_SECONDS, LIMIT_FAULTS)
         with tempfile.TemporaryDirectory() as folder:
-            report = asyncio.run(soak(Path(folder), plan))
+            report = asyncio.run(run_soak(Path(folder), plan))
         self.assertEqual(report.wrong, [])
         self.assertIn('_name_limit', report.faults)
 
@@ -56,6 +58,6 @@
             except (OSError, subprocess.CalledProcessError):
                 self.skipTest('the history that holds the build is not here')
             plan = SoakPlan(_SEED, _LONG_SECONDS, LATER_FAULTS, earlier)
-            report = asyncio.run(soak(folder, plan))
+            report = asyncio.run(run_soak(folder, plan))
         self.assertEqual(report.wrong, [])
         self.assertGreaterEqual(report.faults['replaced'], 3)
--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    life : int
+    incarnation : int
         When the server had started, by the time of day.
 
     """
@@ -53,7 +53,7 @@
     server: str
     body: bytes
     request_id: str = ''
-    life: int = 0
+    incarnation: int = 0
 
 
 @dataclass
@@ -64,15 +64,15 @@
     ----------
     id : str
         Its id, the same in each life.
-    is_deadly : Callable[[bytes], bool]
+    crashes_on : Callable[[bytes], bool]
         Tells of a body whether the server ends under it.
-    resets : bool
+    resets_connections : bool
         Whether it resets every request that it has run, and lives on.
-    ends_ms, caused_ms : list[int]
+    crash_times_ms, caused_crash_times_ms : list[int]
         When it has ended, and when under a body that ends it.
     is_stream : bool
         Whether it answers with events, the first of them at once.
-    run_ms : int
+    service_ms : int
         How long a sound request runs.
 
     """
@@ -80,14 +80,14 @@
     id: str
     store: StandInStore
     clock: Clock
-    is_deadly: Callable[[bytes], bool]
-    note: Callable[[Delivery], None]
-    ends_ms: list[int] = field(default_factory=list)
-    caused_ms: list[int] = field(default_factory=list)
-    resets: bool = False
+    crashes_on: Callable[[bytes], bool]
+    on_delivery: Callable[[Delivery], None]
+    crash_times_ms: list[int] = field(default_factory=list)
+    caused_crash_times_ms: list[int] = field(default_factory=list)
+    resets_connections: bool = False
     is_stream: bool = False
-    run_ms: int = 50
-    is_back: bool = True
+    service_ms: int = 50
+    may_restart: bool = True
     row: dict[str, Any] = field(default_factory=dict)
     started_ms: int = 0
     _address: str = ''
@@ -120,17 +120,17 @@
         """End as a process that is killed, and come back later."""
         if self._listening is None:
             return
-        self.ends_ms.append(self.clock.now())
+        self.crash_times_ms.append(self.clock.now())
         self._listening.close()
         self._listening = None
         for writer in list(self._open):
             writer.transport.abort()
-        if self.is_back:
+        if self.may_restart:
             self._spawn(self._come_back())
 
     async def stop(self) -> None:
         """End for good."""
-        self.is_back = False
+        self.may_restart = False
         self.crash()
         await cancel_all(list(self._tasks))
 
@@ -157,32 +157,32 @@
         self._open.discard(writer)
         writer.close()
 
-    def _note(self, request: Received) -> Delivery:
-        sent = Delivery(
+    def _record_delivery(self, request: Received) -> Delivery:
+        delivery = Delivery(
             self.clock.now(),
             self.id,
             request.body,
             request.get(ID_HEADER),
             self.started_ms,
         )
-        self.note(sent)
-        return sent
+        self.on_delivery(delivery)
+        return delivery
 
     async def _answer(
         self, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        self._note(request)
+        self._record_delivery(request)
         headers = {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
         if self.is_stream:
             writer.write(write_chunks(headers, EVENT))
-        if self.is_deadly(request.body):
+        if self.crashes_on(request.body):
             await self.clock.sleep(_CRASH_MS)
             if self._listening is not None:
-                self.caused_ms.append(self.clock.now())
+                self.caused_crash_times_ms.append(self.clock.now())
             self.crash()
             return
-        await self.clock.sleep(self.run_ms)
-        if self.resets:
+        await self.clock.sleep(self.service_ms)
+        if self.resets_connections:
             reset(writer)
         elif self.is_stream:
             writer.write(LAST_CHUNK)
@@ -223,67 +223,68 @@
     store: StandInStore
     clock: Clock
     servers: list[CrashingServer] = field(default_factory=list)
-    sent: list[Delivery] = field(default_factory=list)
-    asked: list[CallerRequest] = field(default_factory=list)
-    deadly: Callable[[bytes], bool] = CRASHING_BODY.__eq__
-    patience_ms: int = 1500
+    deliveries: list[Delivery] = field(default_factory=list)
+    caller_requests: list[CallerRequest] = field(default_factory=list)
+    crashes_on: Callable[[bytes], bool] = CRASHING_BODY.__eq__
+    timeout_ms: int = 1500
     _client: aiosonic.HTTPClient = field(
         default_factory=lambda: make_client(_CLIENTS, reuses=False)
     )
     _ids: Any = field(default_factory=itertools.count)
 
     @property
-    def ends_ms(self) -> list[int]:
+    def crash_times_ms(self) -> list[int]:
         """When servers have ended, the first first."""
-        ends = (server.ends_ms for server in self.servers)
+        ends = (server.crash_times_ms for server in self.servers)
         return sorted(itertools.chain.from_iterable(ends))
 
     def count_late_sends(self, after_ms: int) -> int:
         """Count the sends of deadly bodies so long after the third end."""
-        caused = (server.caused_ms for server in self.servers)
+        caused = (server.caused_crash_times_ms for server in self.servers)
         ends = sorted(itertools.chain.from_iterable(caused))
         if len(ends) < 3:
             return 0
         since_ms = ends[2] + after_ms
         return sum(
-            one.at_ms > since_ms and self.deadly(one.body) for one in self.sent
+            one.at_ms > since_ms and self.crashes_on(one.body)
+            for one in self.deliveries
         )
 
     def served_share(self, since_ms: int) -> float:
         """Give the part of the sound requests that got their answer."""
         sound = [
             one
-            for one in self.asked
-            if one.at_ms >= since_ms and not self.deadly(one.body)
+            for one in self.caller_requests
+            if one.at_ms >= since_ms and not self.crashes_on(one.body)
         ]
         return sum(one.status == 200 for one in sound) / len(sound)
 
-    async def ask(self, address: str, body: bytes) -> int:
+    async def send_request(self, address: str, body: bytes) -> int:
         """Send a request as a caller; give the status, 0 if it was cut."""
         request_id = f'r{next(self._ids)}'
-        asked = CallerRequest(self.clock.now(), body, address, request_id)
-        self.asked.append(asked)
+        request = CallerRequest(self.clock.now(), body, address, request_id)
+        self.caller_requests.append(request)
         headers = {
             'Host': HOST,
             ID_HEADER: request_id,
             'Authorization': f'Token {KEY}',
         }
         with suppress(Exception):
-            async with asyncio.timeout(self.patience_ms / MS_PER_SECOND):
+            async with asyncio.timeout(self.timeout_ms / MS_PER_SECOND):
                 response = await self._client.request(
                     f'http://{address}/x/y',
                     method='POST',
                     headers=headers,
                     data=body,
                 )
-                asked.head_ms = self.clock.now()
-                asked.headers = {
+                request.head_ms = self.clock.now()
+                request.headers = {
                     name.lower(): text
                     for name, text in response.headers.items()
                 }
-                asked.content = await response.content()
-                asked.status = response.status_code
-        return asked.status
+                request.content = await response.content()
+                request.status = response.status_code
+        return request.status
 
     async def send_requests(
         self,
@@ -299,7 +300,7 @@
                 if self.clock.now() >= until_ms:
                     return
                 address = addresses[number % len(addresses)]
-                group.create_task(self.ask(address, make_body(number)))
+                group.create_task(self.send_request(address, make_body(number)))
                 await self.clock.sleep(every_ms)
 
 
@@ -311,16 +312,16 @@
     clock = Clock()
     fleet = CrashingFleet(store, clock)
 
-    def is_deadly(body: bytes) -> bool:
-        return fleet.deadly(body)
+    def crashes_on(body: bytes) -> bool:
+        return fleet.crashes_on(body)
 
     fleet.servers.extend(
         CrashingServer(
             f'i-{number}',
             store,
             clock,
-            is_deadly,
-            fleet.sent.append,
+            crashes_on,
+            fleet.deliveries.append,
             row=row,
         )
         for number in range(count)
--- a/seampond/testing/gateway_soak.py
+++ b/seampond/testing/gateway_soak.py
@@ -36,8 +36,8 @@
     LATER_FAULTS,
     LIMIT_FAULTS,
     Fault,
-    Scene,
-    inject,
+    SoakContext,
+    inject_faults,
     replace_builds,
 )
 from seampond.testing.store import run_store
@@ -66,12 +66,12 @@
 
 def _find_wrong_requests(fleet: SignallingFleet, kind: str) -> list[str]:
     """Hold each request against what its caller was told."""
-    sends = Counter(one.body for one in fleet.sent)
+    sends = Counter(one.body for one in fleet.deliveries)
     # What a server has turned away may go to another one.
     runs = fleet.count_runs()
     most = 1 if kind == ONCE else _ATTEMPTS_MAX
     wrong = []
-    for one in fleet.asked:
+    for one in fleet.caller_requests:
         if one.status == 200 and one.content != b'whole':
             wrong.append(f'{one.body!r}: answered {one.content!r}')
         if not one.body.startswith(b'sound'):
@@ -92,7 +92,7 @@
     wrong = _find_wrong_requests(fleet, kind)
     if report.late_sends > _LATE_SENDS_MAX:
         wrong.append(f'{report.late_sends} late sends of what ends servers')
-    if fleet.count_sends_to_leaving(_DRAIN_MS):
+    if fleet.count_sends_after_drain(_DRAIN_MS):
         wrong.append('sends to a server that had said that it leaves')
     part = LimitCheck(fleet, _CONTACT_MS).worst_share()
     if part > 1:
@@ -105,16 +105,16 @@
     return wrong
 
 
-def _report(scene: Scene, kind: str) -> SoakReport:
-    fleet = scene.fleet
+def _report(context: SoakContext, kind: str) -> SoakReport:
+    fleet = context.fleet
     report = SoakReport(
-        len(fleet.asked),
-        Counter(one.status for one in fleet.asked),
-        scene.faults,
-        len(fleet.ends_ms),
+        len(fleet.caller_requests),
+        Counter(one.status for one in fleet.caller_requests),
+        context.faults,
+        len(fleet.crash_times_ms),
         fleet.count_late_sends(_CONTACT_MS),
     )
-    calm_ms = scene.until_ms + _CALM_MS + _CALM_MS // 2
+    calm_ms = context.until_ms + _CALM_MS + _CALM_MS // 2
     report.wrong = _find_wrong(fleet, kind, calm_ms, report)
     return report
 
@@ -137,23 +137,25 @@
     return b'popular'
 
 
-def _make_deadly(number: int) -> bytes:
+def _make_crashing(number: int) -> bytes:
     return CRASHING_BODY
 
 
-async def _play(scene: Scene, addresses: Sequence[str], for_ms: int) -> None:
+async def _play(
+    context: SoakContext, addresses: Sequence[str], for_ms: int
+) -> None:
     """Bring sound, popular and deadly requests under faults, then in calm."""
-    fleet = scene.fleet
+    fleet = context.fleet
     whole_ms = for_ms + 2 * _CALM_MS
 
     async with asyncio.TaskGroup() as group:
-        group.create_task(inject(scene))
-        if scene.earlier is not None:
-            group.create_task(replace_builds(scene))
+        group.create_task(inject_faults(context))
+        if context.earlier_build is not None:
+            group.create_task(replace_builds(context))
         for make_body, every_ms in (
             (_make_sound, 40),
             (_make_popular, 120),
-            (_make_deadly, 350),
+            (_make_crashing, 350),
         ):
             group.create_task(
                 fleet.send_requests(addresses, make_body, every_ms, whole_ms)
@@ -173,7 +175,7 @@
         How long faults come.
     faults : Sequence[Fault]
         Of which kinds.
-    earlier : Path or None
+    earlier_build : Path or None
         Where the build lies that runs at first, and is replaced by this one.
 
     """
@@ -181,10 +183,10 @@
     seed: int
     seconds: float
     faults: Sequence[Fault] = FAULTS
-    earlier: Path | None = None
+    earlier_build: Path | None = None
 
 
-async def soak(folder: Path, plan: SoakPlan) -> SoakReport:
+async def run_soak(folder: Path, plan: SoakPlan) -> SoakReport:
     """Run gateways under faults for some seconds, then in calm."""
     rng = random.Random(plan.seed)
     kind = rng.choice((IDEMPOTENT, ONCE))
@@ -193,12 +195,12 @@
     async with (
         run_store() as store,
         run_signalling(store, _SERVERS, CRASHING_BODY.__eq__) as fleet,
-        run_gateways(folder, store, plan.earlier) as gateways,
+        run_gateways(folder, store, plan.earlier_build) as gateways,
     ):
         configuration = ConfigurationRow(kind=kind)
         put_configuration(store, configuration)
         await wait_ready(gateways, make_client(GATEWAYS, reuses=False))
-        scene = Scene(
+        context = SoakContext(
             gateways,
             fleet,
             store,
@@ -207,10 +209,10 @@
             clock.now() + for_ms,
             configuration,
             plan.faults,
-            plan.earlier,
+            plan.earlier_build,
         )
-        await _play(scene, [one.ports[0] for one in gateways], for_ms)
-        report = _report(scene, kind)
+        await _play(context, [one.ports[0] for one in gateways], for_ms)
+        report = _report(context, kind)
         report.wrong.extend(_read_logs(gateways))
     return report
 
@@ -225,7 +227,7 @@
     parser.add_argument('--limits', action='store_true')
     parser.add_argument(
         '--from',
-        dest='earlier',
+        dest='earlier_build',
         default='',
         metavar='COMMIT',
         help='replace gateways of that build one by one, sometimes back',
@@ -237,11 +239,13 @@
     with tempfile.TemporaryDirectory() as scratch:
         folder = options.folder or Path(scratch)
         folder.mkdir(parents=True, exist_ok=True)
-        earlier = None
-        if options.earlier:
-            earlier = unpack_build(options.earlier, folder / 'earlier')
-        plan = SoakPlan(options.seed, options.seconds, faults, earlier)
-        report = asyncio.run(soak(folder, plan))
+        earlier_build = None
+        if options.earlier_build:
+            earlier_build = unpack_build(
+                options.earlier_build, folder / 'earlier'
+            )
+        plan = SoakPlan(options.seed, options.seconds, faults, earlier_build)
+        report = asyncio.run(run_soak(folder, plan))
     sys.stdout.write(f'seed {options.seed}: {report}\n')
     return int(bool(report.wrong))
 
--- a/seampond/testing/signalling.py
+++ b/seampond/testing/signalling.py
@@ -27,15 +27,15 @@
 _NOT_RUN_HEADER = HEADERS.not_run.decode()
 _RETRY_AFTER = 'retry-after'
 # What is under way when a server asks for rest may still come.
-_CROSSING_MS = 500
+_IN_FLIGHT_MS = 500
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
     """A send that its server answered with a wish for rest."""
 
-    sent: Delivery
-    rest_ms: int
+    delivery: Delivery
+    backoff_ms: int
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
 
     """
 
-    sent: Delivery
+    delivery: Delivery
     limit: str
     answered_ms: int = 0
 
@@ -62,106 +62,106 @@
 
     Parameters
     ----------
-    leaves : bool
+    is_draining : bool
         Whether it says that it leaves.
-    is_full : bool
+    is_overloaded : bool
         Whether it turns all requests away.
-    rest : str
+    retry_after : str
         The time that it then asks for, as it stands in the header; empty
         for none.
     limit : str
         The limit that it names, as it stands in the header; empty for none.
-    full_every : int
+    reject_every : int
         Of how many requests it turns one away, 0 for none.
     arrivals : list[Arrival]
         What reached it.
-    told_leave : list[Delivery]
+    announced_drain : list[Delivery]
         Sends that were answered with a word of its leave.
-    not_run : list[Delivery]
+    rejected : list[Delivery]
         Sends that it has turned away.
 
     """
 
-    leaves: bool = False
-    is_full: bool = False
-    rest: str = ''
+    is_draining: bool = False
+    is_overloaded: bool = False
+    retry_after: str = ''
     limit: str = ''
-    full_every: int = 0
+    reject_every: int = 0
     arrivals: list[Arrival] = field(default_factory=list)
-    turned_away: list[Rejection] = field(default_factory=list)
-    told_leave: list[Delivery] = field(default_factory=list)
-    not_run: list[Delivery] = field(default_factory=list)
-    _row_left: int = -1
+    rejections: list[Rejection] = field(default_factory=list)
+    announced_drain: list[Delivery] = field(default_factory=list)
+    rejected: list[Delivery] = field(default_factory=list)
+    _row_drained_ms: int = -1
 
     @property
-    def has_told_row(self) -> bool:
+    def is_row_draining(self) -> bool:
         """Whether the row of this life has said that it leaves."""
-        return self._row_left == self.started_ms
+        return self._row_drained_ms == self.started_ms
 
     async def start(self) -> None:
         """Begin a life in which nothing has been said."""
-        self.leaves = False
-        self.is_full = False
+        self.is_draining = False
+        self.is_overloaded = False
         self.limit = ''
         await super().start()
 
     def put_row(self, **changes: Any) -> None:
         """Write its row, and keep in mind what it said."""
         if changes.get('state') == DRAINING_STATE:
-            self._row_left = self.started_ms
+            self._row_drained_ms = self.started_ms
         super().put_row(**changes)
 
     async def _answer(
         self, request: Received, writer: asyncio.StreamWriter
     ) -> None:
-        if self.is_deadly(request.body):
+        if self.crashes_on(request.body):
             await super()._answer(request, writer)
             return
-        sent = self._note(request)
+        delivery = self._record_delivery(request)
         headers = {ID_HEADER: request.get(ID_HEADER)}
-        if self.leaves:
+        if self.is_draining:
             headers[LEAVING_HEADER] = '1'
-            self.told_leave.append(sent)
-        arrival = Arrival(sent, self.limit)
+            self.announced_drain.append(delivery)
+        arrival = Arrival(delivery, self.limit)
         self.arrivals.append(arrival)
         if self.limit:
             headers[LIMIT_HEADER] = self.limit
-        if self._turns_away():
-            self._turn_away(sent, headers, writer)
+        if self._must_reject():
+            self._reject(delivery, headers, writer)
         elif self.is_stream:
             arrival.answered_ms = self.clock.now()
-            await self._serve_whole(headers, writer)
+            await self._serve_response(headers, writer)
         else:
-            await self._serve_whole(headers, writer)
+            await self._serve_response(headers, writer)
         arrival.answered_ms = arrival.answered_ms or self.clock.now()
         await writer.drain()
 
-    def _turns_away(self) -> bool:
-        if self.full_every and not len(self.arrivals) % self.full_every:
+    def _must_reject(self) -> bool:
+        if self.reject_every and not len(self.arrivals) % self.reject_every:
             return True
-        return self.is_full
+        return self.is_overloaded
 
-    def _turn_away(
+    def _reject(
         self,
-        sent: Delivery,
+        delivery: Delivery,
         headers: dict[str, str],
         writer: asyncio.StreamWriter,
     ) -> None:
         headers[_NOT_RUN_HEADER] = '1'
-        self.not_run.append(sent)
-        if self.rest:
-            headers[_RETRY_AFTER] = self.rest
-            rest_ms = round(float(self.rest) * MS_PER_SECOND)
-            self.turned_away.append(Rejection(sent, rest_ms))
+        self.rejected.append(delivery)
+        if self.retry_after:
+            headers[_RETRY_AFTER] = self.retry_after
+            backoff_ms = round(float(self.retry_after) * MS_PER_SECOND)
+            self.rejections.append(Rejection(delivery, backoff_ms))
         writer.write(write_answer(503, headers))
 
-    async def _serve_whole(
+    async def _serve_response(
         self, headers: dict[str, str], writer: asyncio.StreamWriter
     ) -> None:
         headers[STAMP_HEADER] = self.id
         if self.is_stream:
             writer.write(write_chunks(headers, EVENT))
-        await self.clock.sleep(self.run_ms)
+        await self.clock.sleep(self.service_ms)
         if self.is_stream:
             writer.write(LAST_CHUNK)
         else:
@@ -174,16 +174,16 @@
 
     Parameters
     ----------
-    struck_ms : dict[str, list[int]]
+    disrupted_ms : dict[str, list[int]]
         When a gateway was killed, stopped, frozen or thawed, by its address:
         what it had been told before binds it no more.
 
     """
 
-    saying: list[SignallingServer] = field(default_factory=list)
-    struck_ms: dict[str, list[int]] = field(default_factory=dict)
+    signalling_servers: list[SignallingServer] = field(default_factory=list)
+    disrupted_ms: dict[str, list[int]] = field(default_factory=dict)
 
-    def count_sends_to_leaving(self, drain_ms: int) -> int:
+    def count_sends_after_drain(self, drain_ms: int) -> int:
         """Count the sends that came so long after a word of a leave.
 
         Explanation
@@ -191,68 +191,74 @@
         The word binds the gateway that was given it, towards that life of the
         server; what counts is when a caller sent the request.
         """
-        asked = {one.request_id: one for one in self.asked}
+        asked = {one.request_id: one for one in self.caller_requests}
         told: dict[tuple[str, str, int], list[int]] = {}
-        for server in self.saying:
-            for sent in server.told_leave:
-                key = _binding(sent, asked[sent.request_id].gateway)
-                told.setdefault(key, []).append(sent.at_ms)
+        for server in self.signalling_servers:
+            for delivery in server.announced_drain:
+                key = _connection_key(
+                    delivery, asked[delivery.request_id].gateway
+                )
+                told.setdefault(key, []).append(delivery.at_ms)
         late = 0
-        for sent in self.sent:
-            one = asked[sent.request_id]
+        for delivery in self.deliveries:
+            one = asked[delivery.request_id]
             late += any(
                 one.at_ms > told_ms + drain_ms
-                and not self.was_struck(one.gateway, told_ms, sent.at_ms)
-                for told_ms in told.get(_binding(sent, one.gateway), ())
+                and not self.was_disrupted(one.gateway, told_ms, delivery.at_ms)
+                for told_ms in told.get(
+                    _connection_key(delivery, one.gateway), ()
+                )
             )
         return late
 
     def count_runs(self) -> Counter[bytes]:
         """Count the sends of each body that were not turned away."""
-        lists = (server.not_run for server in self.saying)
-        not_run = Counter(
+        lists = (server.rejected for server in self.signalling_servers)
+        rejected = Counter(
             one.body for one in itertools.chain.from_iterable(lists)
         )
-        return Counter(one.body for one in self.sent) - not_run
+        return Counter(one.body for one in self.deliveries) - rejected
 
     def max_sends_in_backoff(self) -> int:
         """Give the most sends from one gateway inside one time of rest."""
-        return max(self._unwanted(), default=0)
+        return max(self._sends_in_backoff(), default=0)
 
-    def list_turned_away(self) -> list[Rejection]:
+    def list_rejections(self) -> list[Rejection]:
         """Give the sends that were answered with a wish for rest."""
-        lists = (server.turned_away for server in self.saying)
+        lists = (server.rejections for server in self.signalling_servers)
         return list(itertools.chain.from_iterable(lists))
 
     def gateways_by_request(self) -> dict[str, str]:
         """Give the address of the gateway that each request was sent to."""
-        return {one.request_id: one.gateway for one in self.asked}
+        return {one.request_id: one.gateway for one in self.caller_requests}
 
-    def was_struck(self, gateway: str, since_ms: int, until_ms: int) -> bool:
+    def was_disrupted(self, gateway: str, since_ms: int, until_ms: int) -> bool:
         """Whether a gateway lost in a span what it had been told."""
-        struck_ms = self.struck_ms.get(gateway, ())
+        disrupted_ms = self.disrupted_ms.get(gateway, ())
         # A request may have been under way when the gateway was struck.
         return any(
-            since_ms - _CROSSING_MS <= at_ms <= until_ms for at_ms in struck_ms
+            since_ms - _IN_FLIGHT_MS <= at_ms <= until_ms
+            for at_ms in disrupted_ms
         )
 
-    def _unwanted(self) -> Iterator[int]:
+    def _sends_in_backoff(self) -> Iterator[int]:
         gateways = self.gateways_by_request()
-        for turned in self.list_turned_away():
-            gateway = gateways[turned.sent.request_id]
-            since_ms = turned.sent.at_ms + _CROSSING_MS
-            until_ms = turned.sent.at_ms + turned.rest_ms
-            binding = _binding(turned.sent, gateway)
+        for turned in self.list_rejections():
+            gateway = gateways[turned.delivery.request_id]
+            since_ms = turned.delivery.at_ms + _IN_FLIGHT_MS
+            until_ms = turned.delivery.at_ms + turned.backoff_ms
+            binding = _connection_key(turned.delivery, gateway)
             yield sum(
-                since_ms < sent.at_ms < until_ms
-                and _binding(sent, gateways[sent.request_id]) == binding
-                and not self.was_struck(gateway, since_ms, sent.at_ms)
-                for sent in self.sent
+                since_ms < delivery.at_ms < until_ms
+                and _connection_key(delivery, gateways[delivery.request_id])
+                == binding
+                and not self.was_disrupted(gateway, since_ms, delivery.at_ms)
+                for delivery in self.deliveries
             )
 
 
-def _binding(sent: Delivery, gateway: str) -> tuple[str, str, int]:
-    return gateway, sent.server, sent.life
+def _connection_key(delivery: Delivery, gateway: str) -> tuple[str, str, int]:
+    return gateway, delivery.server, delivery.incarnation
 
 
 def _never(body: bytes) -> bool:
@@ -264,23 +270,23 @@
 async def run_signalling(
     store: StandInStore,
     count: int,
-    is_deadly: Callable[[bytes], bool] = _never,
+    crashes_on: Callable[[bytes], bool] = _never,
     **row: Any,
 ) -> AsyncIterator[SignallingFleet]:
     """Run such servers until the end of the `with`."""
     clock = Clock()
-    fleet = SignallingFleet(store, clock, deadly=is_deadly)
-    fleet.saying.extend(
+    fleet = SignallingFleet(store, clock, crashes_on=crashes_on)
+    fleet.signalling_servers.extend(
         SignallingServer(
             f'i-{number}',
             store,
             clock,
-            is_deadly,
-            fleet.sent.append,
+            crashes_on,
+            fleet.deliveries.append,
             row=row,
         )
         for number in range(count)
     )
-    fleet.servers.extend(fleet.saying)
+    fleet.servers.extend(fleet.signalling_servers)
     async with run_servers(fleet.servers):
         yield fleet
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -23,11 +23,11 @@
 _BETWEEN_MS = 800
 _LIMITS = (0, 0.2, 0.7, 1.5, 4)
 
-Fault = Callable[['Scene'], Awaitable[None]]
+Fault = Callable[['SoakContext'], Awaitable[None]]
 
 
 @dataclass
-class Scene:
+class SoakContext:
     """What faults may strike."""
 
     gateways: Sequence[GatewayProcess]
@@ -37,117 +37,119 @@
     clock: Clock
     until_ms: int
     configuration: ConfigurationRow
-    kinds: Sequence[Fault]
-    earlier: Path | None = None
+    fault_kinds: Sequence[Fault]
+    earlier_build: Path | None = None
     faults: Counter[str] = field(default_factory=Counter)
 
-    def strike(self, gateway: GatewayProcess, number: signal.Signals) -> None:
+    def send_signal(
+        self, gateway: GatewayProcess, number: signal.Signals
+    ) -> None:
         """Send a gateway a signal, and note when that was."""
-        self.note_struck(gateway)
+        self.record_disruption(gateway)
         gateway.signal(number)
 
-    def note_struck(self, gateway: GatewayProcess) -> None:
+    def record_disruption(self, gateway: GatewayProcess) -> None:
         """Note that a gateway has lost now what it was told."""
-        struck_ms = self.fleet.struck_ms.setdefault(gateway.ports[0], [])
-        struck_ms.append(self.clock.now())
+        disrupted_ms = self.fleet.disrupted_ms.setdefault(gateway.ports[0], [])
+        disrupted_ms.append(self.clock.now())
 
 
-async def _kill(scene: Scene) -> None:
-    gateway = scene.rng.choice(scene.gateways)
-    scene.strike(gateway, signal.SIGKILL)
-    await _come_back(scene, gateway)
+async def _kill(context: SoakContext) -> None:
+    gateway = context.rng.choice(context.gateways)
+    context.send_signal(gateway, signal.SIGKILL)
+    await _come_back(context, gateway)
 
 
-async def _stop(scene: Scene) -> None:
-    gateway = scene.rng.choice(scene.gateways)
-    scene.strike(gateway, signal.SIGTERM)
-    await _come_back(scene, gateway)
+async def _stop(context: SoakContext) -> None:
+    gateway = context.rng.choice(context.gateways)
+    context.send_signal(gateway, signal.SIGTERM)
+    await _come_back(context, gateway)
 
 
-async def _come_back(scene: Scene, gateway: GatewayProcess) -> None:
+async def _come_back(context: SoakContext, gateway: GatewayProcess) -> None:
     process = gateway.process
     await gateway.wait()
     # Until then it serves, and learns; what it has learned is gone with it.
-    scene.note_struck(gateway)
-    await scene.clock.sleep(scene.rng.uniform(100, 1000))
+    context.record_disruption(gateway)
+    await context.clock.sleep(context.rng.uniform(100, 1000))
     # Another fault may have started it meanwhile.
     if gateway.process is process:
         await gateway.start()
 
 
-async def _freeze(scene: Scene) -> None:
-    gateway = scene.rng.choice(scene.gateways)
-    scene.strike(gateway, signal.SIGSTOP)
-    await scene.clock.sleep(scene.rng.uniform(300, 4000))
-    scene.strike(gateway, signal.SIGCONT)
+async def _freeze(context: SoakContext) -> None:
+    gateway = context.rng.choice(context.gateways)
+    context.send_signal(gateway, signal.SIGSTOP)
+    await context.clock.sleep(context.rng.uniform(300, 4000))
+    context.send_signal(gateway, signal.SIGCONT)
 
 
-async def _kill_all(scene: Scene) -> None:
-    for gateway in scene.gateways:
-        scene.strike(gateway, signal.SIGKILL)
-    backs = [_come_back(scene, killed) for killed in scene.gateways]
+async def _kill_all(context: SoakContext) -> None:
+    for gateway in context.gateways:
+        context.send_signal(gateway, signal.SIGKILL)
+    backs = [_come_back(context, killed) for killed in context.gateways]
     await asyncio.gather(*backs)
 
 
-async def _store_away(scene: Scene) -> None:
-    scene.store.is_down = True
-    await scene.clock.sleep(scene.rng.uniform(300, 2500))
-    scene.store.is_down = False
+async def _store_away(context: SoakContext) -> None:
+    context.store.is_down = True
+    await context.clock.sleep(context.rng.uniform(300, 2500))
+    context.store.is_down = False
 
 
-async def _crash_server(scene: Scene) -> None:
-    scene.rng.choice(scene.fleet.servers).crash()
+async def _crash_server(context: SoakContext) -> None:
+    context.rng.choice(context.fleet.servers).crash()
 
 
-async def _spoil_rows(scene: Scene) -> None:
+async def _spoil_rows(context: SoakContext) -> None:
     for content in (b'[' * 100_000, b'{"slots": 1e999}', b'\xff'):
-        number = scene.rng.randrange(20)
-        scene.store.put(SERVERS_TABLE, f'bad-{number}', content)
+        number = context.rng.randrange(20)
+        context.store.put(SERVERS_TABLE, f'bad-{number}', content)
 
 
-async def _leave(scene: Scene) -> None:
+async def _leave(context: SoakContext) -> None:
     """Let a server say that it leaves, with its row or without, and end."""
-    server = scene.rng.choice(scene.fleet.saying)
+    server = context.rng.choice(context.fleet.signalling_servers)
     started_ms = server.started_ms
-    server.leaves = True
-    await scene.clock.sleep(scene.rng.uniform(0, _LEAVE_MS))
-    if scene.rng.random() < _ROW_PART and server.started_ms == started_ms:
+    server.is_draining = True
+    await context.clock.sleep(context.rng.uniform(0, _LEAVE_MS))
+    if context.rng.random() < _ROW_PART and server.started_ms == started_ms:
         server.put_row(state=DRAINING_STATE)
-    await scene.clock.sleep(_LEAVE_MS)
+    await context.clock.sleep(_LEAVE_MS)
     if server.started_ms == started_ms:
         server.crash()
 
 
-async def _want_rest(scene: Scene) -> None:
+async def _want_rest(context: SoakContext) -> None:
     """Let a server turn all away and ask for rest, which it may exceed."""
-    server = scene.rng.choice(scene.fleet.saying)
-    server.rest = str(round(scene.rng.uniform(0.5, 3), 2))
-    server.is_full = True
-    await scene.clock.sleep(scene.rng.uniform(300, 4000))
-    server.is_full = False
+    server = context.rng.choice(context.fleet.signalling_servers)
+    server.retry_after = str(round(context.rng.uniform(0.5, 3), 2))
+    server.is_overloaded = True
+    await context.clock.sleep(context.rng.uniform(300, 4000))
+    server.is_overloaded = False
 
 
-async def _restore_store(scene: Scene) -> None:
+async def _restore_store(context: SoakContext) -> None:
     """Let the store come back older; what others wrote comes again."""
-    scene.store.is_down = True
-    await scene.clock.sleep(scene.rng.uniform(100, 1000))
-    lost_ms = scene.rng.uniform(500, 3000)
-    scene.store.go_back(round(scene.clock.now() - lost_ms))
-    scene.store.is_down = False
-    await scene.clock.sleep(scene.rng.uniform(0, 1000))
-    put_configuration(scene.store, scene.configuration)
-    for server in scene.fleet.saying:
+    context.store.is_down = True
+    await context.clock.sleep(context.rng.uniform(100, 1000))
+    lost_ms = context.rng.uniform(500, 3000)
+    context.store.go_back(round(context.clock.now() - lost_ms))
+    context.store.is_down = False
+    await context.clock.sleep(context.rng.uniform(0, 1000))
+    put_configuration(context.store, context.configuration)
+    for server in context.fleet.signalling_servers:
         if server.is_up:
-            state = DRAINING_STATE if server.has_told_row else READY_STATE
+            state = DRAINING_STATE if server.is_row_draining else READY_STATE
             server.put_row(state=state)
 
 
-async def _name_limit(scene: Scene) -> None:
+async def _name_limit(context: SoakContext) -> None:
     """Let a server name a limit for a while, and maybe another one."""
-    server = scene.rng.choice(scene.fleet.saying)
-    for _ in range(scene.rng.randrange(1, 3)):
-        server.limit = str(scene.rng.choice(_LIMITS))
-        await scene.clock.sleep(scene.rng.uniform(3000, 9000))
+    server = context.rng.choice(context.fleet.signalling_servers)
+    for _ in range(context.rng.randrange(1, 3)):
+        server.limit = str(context.rng.choice(_LIMITS))
+        await context.clock.sleep(context.rng.uniform(3000, 9000))
     server.limit = ''
 
 
@@ -186,38 +188,38 @@
 )
 
 
-async def inject(scene: Scene) -> None:
+async def inject_faults(context: SoakContext) -> None:
     """Let faults come in series that overlap, until the time is over."""
     async with asyncio.TaskGroup() as group:
-        while scene.clock.now() < scene.until_ms:
-            await scene.clock.sleep(scene.rng.uniform(200, 2500))
-            fault = scene.rng.choice(scene.kinds)
-            scene.faults[fault.__name__] += 1
-            group.create_task(fault(scene))  # type: ignore[arg-type]
+        while context.clock.now() < context.until_ms:
+            await context.clock.sleep(context.rng.uniform(200, 2500))
+            fault = context.rng.choice(context.fault_kinds)
+            context.faults[fault.__name__] += 1
+            group.create_task(fault(context))  # type: ignore[arg-type]
 
 
-async def replace_builds(scene: Scene) -> None:
+async def replace_builds(context: SoakContext) -> None:
     """Replace gateways of an earlier build one by one, sometimes back.
 
     Explanation
     -----------
     Where the time is over before all are replaced, the rest stays as it is.
     """
-    for gateway in scene.gateways:
-        await _replace(scene, gateway, None)
-        if scene.rng.random() < _BACK_PART:
-            await _replace(scene, gateway, scene.earlier)
-            await _replace(scene, gateway, None)
+    for gateway in context.gateways:
+        await _replace(context, gateway, None)
+        if context.rng.random() < _BACK_PART:
+            await _replace(context, gateway, context.earlier_build)
+            await _replace(context, gateway, None)
 
 
 async def _replace(
-    scene: Scene, gateway: GatewayProcess, build: Path | None
+    context: SoakContext, gateway: GatewayProcess, build: Path | None
 ) -> None:
     """Stop a gateway, and start it anew from another build."""
-    await scene.clock.sleep(scene.rng.uniform(0, _BETWEEN_MS))
-    if scene.clock.now() >= scene.until_ms:
+    await context.clock.sleep(context.rng.uniform(0, _BETWEEN_MS))
+    if context.clock.now() >= context.until_ms:
         return
-    scene.faults['replaced'] += 1
+    context.faults['replaced'] += 1
     gateway.build = build
-    scene.strike(gateway, signal.SIGTERM)
-    await _come_back(scene, gateway)
+    context.send_signal(gateway, signal.SIGTERM)
+    await _come_back(context, gateway)
