--- a/seampond/daemons/tests/test_processes.py
+++ b/seampond/daemons/tests/test_processes.py
@@ -39,7 +39,9 @@
         self.processes: Processes = self.enterContext(
             run_processes(self.folder, 'fitlink-kochi', shorten_waits)
         )
-        self.key = self.processes.command('workspace', 'key', 'trainers')['key']
+        self.key = self.processes.run_command('workspace', 'key', 'trainers')[
+            'key'
+        ]
 
     async def asyncSetUp(self) -> None:
         self.client = await self.enterAsyncContext(open_client(200))
@@ -67,13 +69,13 @@
     async def wait_until_full(self) -> None:
         """Wait until every slot runs and requests wait at both entries."""
         for entry in ('entry-1', 'entry-2'):
-            while not self.processes.read(entry, '/status')['waiting']:
+            while not self.processes.read_page(entry, '/status')['waiting']:
                 await asyncio.sleep(POLL_SECONDS)
 
     def assert_ran_once(self) -> None:
         runs: Counter[str] = Counter()
         for number in range(1, 5):
-            page = self.processes.read(f'engine-{number}', '/control/runs')
+            page = self.processes.read_page(f'engine-{number}', '/control/runs')
             runs.update(page['runs'])
         self.assertEqual([key for key, count in runs.items() if count > 1], [])
 
@@ -126,11 +128,11 @@
     async def wait_until_idle(self) -> None:
         for number in (1, 2, 3):
             address = self.processes.status_address(f'agent-{number}')
-            while self.processes.read_at(address, '/status')['running']:
+            while self.processes.read_page_at(address, '/status')['running']:
                 await asyncio.sleep(POLL_SECONDS)
 
     def totals(self, number: int) -> dict[str, float]:
-        page = self.processes.read(f'engine-{number}', '/control/runs')
+        page = self.processes.read_page(f'engine-{number}', '/control/runs')
         totals: dict[str, float] = page['totals']
         return totals
 
@@ -173,5 +175,5 @@
     async def wait_until_asked(self) -> None:
         """Wait until the first agent waits for grants."""
         address = self.processes.status_address('agent-1')
-        while not self.processes.read_at(address, '/status')['asked']:
+        while not self.processes.read_page_at(address, '/status')['asked']:
             await asyncio.sleep(POLL_SECONDS)
--- a/seampond/forwarding/tests/test_availability.py
+++ b/seampond/forwarding/tests/test_availability.py
@@ -19,7 +19,7 @@
     build_job,
     build_route,
     build_server,
-    pick,
+    get_backend,
 )
 
 _LATER_MS = 60_000
@@ -112,7 +112,7 @@
         self.assertFalse(self.scheduler.has_spare_capacity(POOL))
         # Later than the report of the limit.
         await asyncio.sleep(_SOON_S)
-        self.signal(pick(self.backends, 'i-1'), ServerSignals())
+        self.signal(get_backend(self.backends, 'i-1'), ServerSignals())
         self.assertTrue(self.scheduler.has_spare_capacity(POOL))
 
     async def test_each_waiter_requests_one_permit(self) -> None:
@@ -186,7 +186,7 @@
     async def test_server_without_a_limit_is_waited_for(self) -> None:
         """It is full, and may have a free slot in time."""
         self.backends.replace_all(build_server(f'i-{one}') for one in (1, 2, 3))
-        full = pick(self.backends, 'i-3')
+        full = get_backend(self.backends, 'i-3')
         full.in_flight = full.server.slots
         self.permits.permit_ms = self.clock.now() + _LATER_MS
         task = self.schedule('r1')
--- a/seampond/forwarding/tests/test_connection.py
+++ b/seampond/forwarding/tests/test_connection.py
@@ -9,12 +9,12 @@
 from seampond.forwarding.response_head import ExchangeError
 from seampond.testing.gateways import ID_HEADER
 from seampond.testing.scripted import (
-    Received,
+    ReceivedRequest,
+    format_chunked_response,
+    format_response,
+    reset_connection,
     run_scripted,
-    write_answer,
-    write_chunks,
 )
-from seampond.testing.scripted import reset as reset_connection
 
 _IDS = MappingProxyType({ID_HEADER: 'r1'})
 
@@ -34,24 +34,24 @@
 
     async def test_complete_answer_keeps_the_connection(self) -> None:
         """An answer with a length leaves the connection reusable."""
-        answer = write_answer(200, _IDS, b'hello')
+        answer = format_response(200, _IDS, b'hello')
         self.assertEqual(await self._ask(answer), (200, b'hello', True))
 
     async def test_chunked_answer(self) -> None:
         """The chunks are joined up to the last one."""
-        answer = write_chunks(_IDS, b'one', b'two', b'')
+        answer = format_chunked_response(_IDS, b'one', b'two', b'')
         self.assertEqual(await self._ask(answer), (200, b'onetwo', True))
 
     async def test_interim_answer_is_skipped(self) -> None:
         """A 100 is not taken for the answer."""
         interim = b'HTTP/1.1 100 Continue\r\n\r\n'
-        answer = write_answer(200, _IDS, b'hello')
+        answer = format_response(200, _IDS, b'hello')
         status, body, _ = await self._ask(interim, answer)
         self.assertEqual((status, body), (200, b'hello'))
 
     async def test_short_answer_fails(self) -> None:
         """A body shorter than its length is an error."""
-        answer = write_answer(200, _IDS, b'hel', length=5)
+        answer = format_response(200, _IDS, b'hel', length=5)
         with self.assertRaises(ExchangeError) as caught:
             await self._ask(answer, reset=True)
         self.assertTrue(caught.exception.was_sent)
@@ -59,7 +59,7 @@
     async def test_chunks_without_their_end_fail(self) -> None:
         """A chunked body without its last chunk is an error."""
         with self.assertRaises(ExchangeError):
-            await self._ask(write_chunks(_IDS, b'one'), reset=True)
+            await self._ask(format_chunked_response(_IDS, b'one'), reset=True)
 
     async def test_unframed_answer_ends_with_the_connection(self) -> None:
         """The end of the connection completes an answer without length."""
@@ -74,20 +74,20 @@
 
     async def test_answer_of_another_request_is_skipped(self) -> None:
         """A late answer makes the connection unusable for later requests."""
-        late = write_answer(200, {ID_HEADER: 'r0'}, b'not yours')
-        own = write_answer(200, _IDS, b'yours')
+        late = format_response(200, {ID_HEADER: 'r0'}, b'not yours')
+        own = format_response(200, _IDS, b'yours')
         self.assertEqual(await self._ask(late, own), (200, b'yours', False))
 
     async def test_surplus_answer_ends_the_connection(self) -> None:
         """A second answer makes the connection unusable."""
-        own = write_answer(200, _IDS, b'yours')
-        both = own + write_answer(200, _IDS, b'again')
+        own = format_response(200, _IDS, b'yours')
+        both = own + format_response(200, _IDS, b'again')
         self.assertEqual(await self._ask(both), (200, b'yours', False))
 
     async def test_answer_without_an_id_fails(self) -> None:
         """An answer without a request id cannot be matched."""
         with self.assertRaises(ExchangeError):
-            await self._ask(write_answer(200, {}, b'whose'))
+            await self._ask(format_response(200, {}, b'whose'))
 
     async def test_invalid_http_fails(self) -> None:
         """Invalid bytes are reported as an error at once."""
@@ -108,19 +108,19 @@
 
     async def test_connection_close_is_honoured(self) -> None:
         """A connection is not reused after `Connection: close`."""
-        answer = write_answer(200, {**_IDS, 'Connection': 'close'}, b'hello')
+        answer = format_response(200, {**_IDS, 'Connection': 'close'}, b'hello')
         self.assertEqual(await self._ask(answer), (200, b'hello', False))
 
     async def test_unexpected_bytes_close_an_idle_connection(self) -> None:
         """An unexpected answer must not be matched to the next request."""
 
         async def handle(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            writer.write(write_answer(200, _IDS, b'one'))
+            writer.write(format_response(200, _IDS, b'one'))
             await writer.drain()
             await asyncio.sleep(0.05)
-            writer.write(write_answer(200, {ID_HEADER: 'r2'}, b'two'))
+            writer.write(format_response(200, {ID_HEADER: 'r2'}, b'two'))
 
         async with asyncio.timeout(5), run_scripted(handle) as server:
             connection = await open_connection(
@@ -140,7 +140,7 @@
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             await reader.readuntil(b'\r\n\r\n')
-            writer.write(write_answer(503, _IDS, b'early'))
+            writer.write(format_response(503, _IDS, b'early'))
             await writer.drain()
             await asyncio.sleep(5)
 
@@ -163,7 +163,7 @@
         """Return the answer and whether the connection is reusable."""
 
         async def handle(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             for answer in answers:
                 writer.write(answer)
--- a/seampond/forwarding/tests/test_forwarder.py
+++ b/seampond/forwarding/tests/test_forwarder.py
@@ -34,69 +34,77 @@
     build_quarantine,
     build_route,
     build_server,
-    pick,
+    get_backend,
     wait_until,
 )
 from seampond.testing.scripted import (
-    Received,
+    ReceivedRequest,
     ScriptedServer,
-    reset,
+    format_chunked_response,
+    format_response,
+    reset_connection,
     run_scripted,
-    write_answer,
-    write_chunks,
 )
 
 _LOAD_HEADER = NAMES.load.decode()
 _STREAM = build_route(kind=RequestKind.stream, may_resume=True)
 _ONCE = build_route(kind=RequestKind.once, attempts=2)
-Step = Callable[[Received, asyncio.StreamWriter], Awaitable[None]]
+Step = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
-def _headers(request: Received) -> dict[str, str]:
+def _headers(request: ReceivedRequest) -> dict[str, str]:
     return {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
 
 
-async def _serve(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(write_answer(200, _headers(request), b'whole'))
+async def _serve(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    writer.write(format_response(200, _headers(request), b'whole'))
 
 
-async def _reset(request: Received, writer: asyncio.StreamWriter) -> None:
-    reset(writer)
+async def _reset(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    reset_connection(writer)
 
 
-async def _reject(request: Received, writer: asyncio.StreamWriter) -> None:
+async def _reject(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = _headers(request) | {NOT_RUN_HEADER: '1'}
-    writer.write(write_answer(503, headers))
+    writer.write(format_response(503, headers))
 
 
 async def _answer_misdirected(
-    request: Received, writer: asyncio.StreamWriter
+    request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    writer.write(write_answer(421, {ID_HEADER: request.get(ID_HEADER)}))
+    writer.write(format_response(421, {ID_HEADER: request.get(ID_HEADER)}))
 
 
-async def _fail(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(write_answer(500, _headers(request), b'own failure'))
+async def _fail(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(format_response(500, _headers(request), b'own failure'))
 
 
 async def _accept_silently(
-    request: Received, writer: asyncio.StreamWriter
+    request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Accept the request without answering."""
 
 
 async def _break_stream(
-    request: Received, writer: asyncio.StreamWriter
+    request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     chunk = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda'
-    writer.write(write_chunks(_headers(request), chunk))
+    writer.write(format_chunked_response(_headers(request), chunk))
     await writer.drain()
-    reset(writer)
+    reset_connection(writer)
 
 
-async def _end_stream(request: Received, writer: asyncio.StreamWriter) -> None:
+async def _end_stream(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     chunk = b'id: 3\ndata: c\n\n'
-    writer.write(write_chunks(_headers(request), chunk, b''))
+    writer.write(format_chunked_response(_headers(request), chunk, b''))
 
 
 class ForwarderTest(unittest.IsolatedAsyncioTestCase):
@@ -117,7 +125,7 @@
         _, sink = await self._forward(_serve)
         self.assertEqual(sink.head.status, 200)
         self.assertEqual(sink.body, b'whole')
-        self.assertTrue(sink.is_whole)
+        self.assertTrue(sink.is_complete)
 
     async def test_idempotent_request_is_retried_elsewhere(self) -> None:
         """A lost connection does not fail an idempotent request."""
@@ -192,7 +200,7 @@
             sink.body,
             b'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n',
         )
-        self.assertTrue(sink.is_whole)
+        self.assertTrue(sink.is_complete)
         received = [
             request for server in self.servers for request in server.received
         ]
@@ -204,7 +212,7 @@
         route = build_route(kind=RequestKind.stream, attempts=2)
         with self.assertRaises(AbortedResponseError):
             await self._forward(_break_stream, _end_stream, route=route)
-        self.assertFalse(self._sink.is_whole)
+        self.assertFalse(self._sink.is_complete)
         self.assertEqual(self.sends, 1)
 
     async def test_timeout_after_a_send(self) -> None:
@@ -222,7 +230,7 @@
         with self.assertRaises(asyncio.CancelledError):
             await task
         await wait_until(
-            lambda: sum(server.left for server in self.servers) == 1
+            lambda: sum(server.disconnect_count for server in self.servers) == 1
         )
         self.assertEqual(self.sends, 1)
 
@@ -247,7 +255,7 @@
         """Back-off is requested while a connection is opened."""
         await self._check_not_sent(
             lambda backends: backends.apply_signals(
-                pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
+                get_backend(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
             )
         )
 
@@ -257,16 +265,16 @@
             with self.subTest(load=load):
 
                 async def serve(
-                    request: Received,
+                    request: ReceivedRequest,
                     writer: asyncio.StreamWriter,
                     load: str = load,
                 ) -> None:
                     headers = _headers(request) | {_LOAD_HEADER: load}
-                    writer.write(write_answer(200, headers, b'whole'))
+                    writer.write(format_response(200, headers, b'whole'))
 
                 self.servers.clear()
                 _, sink = await self._forward(serve)
-                self.assertTrue(sink.is_whole)
+                self.assertTrue(sink.is_complete)
 
     async def test_request_that_a_server_receives(self) -> None:
         """Reserved headers are replaced and the key is removed."""
@@ -296,7 +304,7 @@
         remaining_steps = [_break_stream, _end_stream]
 
         async def handle(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             await remaining_steps.pop(0)(request, writer)
 
@@ -309,7 +317,7 @@
             budget.try_acquire(POOL, is_resumed=False)
         forwarder = build_forwarder(backends, budget=budget)
         await forwarder.forward(progress)
-        self.assertTrue(sink.is_whole)
+        self.assertTrue(sink.is_complete)
 
     async def _check_not_sent(
         self, update: Callable[[Backends], object]
@@ -317,7 +325,7 @@
         """Check that an update while connecting prevents the send."""
         backends = build_backends([build_server('i-1')])
         progress, _ = build_progress()
-        backend = pick(backends, 'i-1')
+        backend = get_backend(backends, 'i-1')
 
         async def connect_late(target: Backend) -> Connection:
             update(backends)
@@ -346,7 +354,7 @@
         remaining_steps = list(steps)
 
         async def handle(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             await remaining_steps.pop(0)(request, writer)
 
--- a/seampond/forwarding/tests/test_incarnations.py
+++ b/seampond/forwarding/tests/test_incarnations.py
@@ -10,7 +10,7 @@
 from seampond.clock import ManualClock
 from seampond.forwarding.backend import LoadReport, RemoteLoad
 from seampond.sharing import hash_name
-from seampond.testing.gateways import build_backends, build_server, pick
+from seampond.testing.gateways import build_backends, build_server, get_backend
 
 
 class IncarnationsTest(unittest.TestCase):
@@ -21,7 +21,7 @@
         self.clock = ManualClock(1000)
         self.first = build_server('i-1', started_ms=100)
         self.backends = build_backends([self.first], self.clock)
-        self.previous = pick(self.backends, 'i-1')
+        self.previous = get_backend(self.backends, 'i-1')
         self.previous.record_failure(1000)
         self.previous.cached_parts['part'] = 500
         self.previous.report = LoadReport(4, 9, 0, 1000)
@@ -33,7 +33,7 @@
         self.backends.update(
             [replace(self.first, started_ms=200, cold_ms=50)], []
         )
-        later = pick(self.backends, 'i-1')
+        later = get_backend(self.backends, 'i-1')
         self.assertEqual(
             (
                 later.consecutive_failures,
@@ -57,15 +57,15 @@
     def test_late_row_of_a_previous_incarnation(self) -> None:
         """The row is ignored."""
         self.backends.update([replace(self.first, started_ms=200)], [])
-        later = pick(self.backends, 'i-1')
+        later = get_backend(self.backends, 'i-1')
         self.backends.update([self.first], [])
-        self.assertIs(pick(self.backends, 'i-1'), later)
+        self.assertIs(get_backend(self.backends, 'i-1'), later)
         self.assertEqual(later.server.started_ms, 200)
 
     def test_row_without_a_start_time(self) -> None:
         """The row updates the current incarnation, whose start is kept."""
         self.backends.update([replace(self.first, started_ms=0, slots=9)], [])
-        self.assertIs(pick(self.backends, 'i-1'), self.previous)
+        self.assertIs(get_backend(self.backends, 'i-1'), self.previous)
         self.assertEqual(self.previous.server.slots, 9)
         self.assertEqual(self.previous.server.started_ms, 100)
 
@@ -77,8 +77,8 @@
         backends.update_remote_loads(
             {hash_name('i-1/100'): RemoteLoad(7, 0, 1000)}
         )
-        self.assertIsNone(pick(backends, 'i-1').remote_load)
+        self.assertIsNone(get_backend(backends, 'i-1').remote_load)
         backends.update_remote_loads(
             {hash_name('i-1/200'): RemoteLoad(2, 0, 1000)}
         )
-        self.assertEqual(pick(backends, 'i-1').load(1000), 2)
+        self.assertEqual(get_backend(backends, 'i-1').load(1000), 2)
--- a/seampond/forwarding/tests/test_scheduler.py
+++ b/seampond/forwarding/tests/test_scheduler.py
@@ -21,7 +21,7 @@
     build_job,
     build_route,
     build_server,
-    pick,
+    get_backend,
     wait_until,
 )
 
@@ -42,7 +42,7 @@
     scheduler = Scheduler(
         backends, ZONE, Clock(), lambda: gateways, build_promises()
     )
-    return scheduler, [pick(backends, name) for name in names]
+    return scheduler, [get_backend(backends, name) for name in names]
 
 
 class SchedulerTest(unittest.IsolatedAsyncioTestCase):
@@ -395,14 +395,14 @@
         """Nothing goes there while another server serves, even a full one."""
         scheduler, backends = self.build(1, 1)
         backends.apply_signals(
-            pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
+            get_backend(backends, 'i-0'), ServerSignals(is_draining=True), 0
         )
         self.assertEqual(await self.schedule(scheduler), 'i-1')
         self.assertEqual(
             await self.schedule(scheduler), Cause.waited_too_long.value
         )
         backends.apply_signals(
-            pick(backends, 'i-1'), ServerSignals(is_draining=True), 0
+            get_backend(backends, 'i-1'), ServerSignals(is_draining=True), 0
         )
         self.assertEqual(await self.schedule(scheduler), 'i-0')
 
@@ -410,7 +410,7 @@
         """Guards against a stream that is cut at the end of the drain time."""
         scheduler, backends = self.build(4)
         backends.apply_signals(
-            pick(backends, 'i-0'), ServerSignals(is_draining=True), 0
+            get_backend(backends, 'i-0'), ServerSignals(is_draining=True), 0
         )
         short = Prompt(tokens=10, answer_tokens=10)
         long = Prompt(tokens=10, answer_tokens=900)
@@ -426,10 +426,10 @@
         """The retry time is the end of the first back-off."""
         scheduler, backends = self.build(4, 4)
         backends.apply_signals(
-            pick(backends, 'i-0'), ServerSignals(backoff_ms=5000), 0
+            get_backend(backends, 'i-0'), ServerSignals(backoff_ms=5000), 0
         )
         backends.apply_signals(
-            pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
+            get_backend(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
         )
         job = build_job(arrived_ms=self.clock.now())
         with self.assertRaises(Refusal) as caught:
@@ -442,25 +442,25 @@
         """It ends before the request would stop waiting."""
         scheduler, backends = self.build(4)
         backends.apply_signals(
-            pick(backends, 'i-0'), ServerSignals(backoff_ms=100), 0
+            get_backend(backends, 'i-0'), ServerSignals(backoff_ms=100), 0
         )
         self.assertEqual(await self.schedule(scheduler), 'i-0')
 
     async def test_spare_capacity_leaves_out_back_off(self) -> None:
         """Slots of a server that backs off do not count."""
         scheduler, backends = self.build(2, 6)
-        backend = pick(backends, 'i-0')
+        backend = get_backend(backends, 'i-0')
         backend.in_flight = 2
         self.assertTrue(scheduler.has_spare_capacity(POOL))
         backends.apply_signals(
-            pick(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
+            get_backend(backends, 'i-1'), ServerSignals(backoff_ms=3000), 0
         )
         self.assertFalse(scheduler.has_spare_capacity(POOL))
 
     async def test_one_request_probes_after_back_off(self) -> None:
         """Only one that may be sent again; the others go elsewhere."""
         scheduler, backends = self.build(4, 4)
-        recovering = pick(backends, 'i-1')
+        recovering = get_backend(backends, 'i-1')
         backends.apply_signals(recovering, ServerSignals(backoff_ms=100), 0)
         self.clock.advance(100)
         once = build_route(attempts=1)
--- a/seampond/forwarding/tests/test_signal_state.py
+++ b/seampond/forwarding/tests/test_signal_state.py
@@ -13,7 +13,7 @@
     NAMES,
     build_backends,
     build_server,
-    pick,
+    get_backend,
 )
 
 _DRAINING = ServerSignals(is_draining=True)
@@ -35,7 +35,7 @@
     @property
     def backend(self) -> Backend:
         """The current backend of the server."""
-        return pick(self.backends, 'i-1')
+        return get_backend(self.backends, 'i-1')
 
     def apply(self, signals: ServerSignals) -> None:
         """Apply signals of the server."""
@@ -156,7 +156,7 @@
             for number in range(1, 5):
                 server = build_server(f'i-{number}')
                 self.backends.update([server], [])
-                backend = pick(self.backends, server.id)
+                backend = get_backend(self.backends, server.id)
                 self.backends.apply_signals(backend, _DRAINING, 0)
         states = self.backends._signals._states  # noqa: SLF001
         self.assertEqual(list(states), ['i-3', 'i-4'])
--- a/seampond/gateway/tests/test_callers.py
+++ b/seampond/gateway/tests/test_callers.py
@@ -6,7 +6,7 @@
 from seampond.gateway.tests.test_gateway import GatewayCase
 from seampond.platform.tests.rows import HOST, ID_HEADER, KEY
 from seampond.testing.gateways import wait_until
-from seampond.testing.scripted import Received
+from seampond.testing.scripted import ReceivedRequest
 
 _IDLE_CONNECTIONS = 300
 _DISCONNECT_S = 0.05
@@ -20,7 +20,9 @@
         is_free = asyncio.Event()
         serve = self.serve
 
-        async def hold(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def hold(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await is_free.wait()
             await serve(request, writer)
 
--- a/seampond/gateway/tests/test_draining.py
+++ b/seampond/gateway/tests/test_draining.py
@@ -13,7 +13,7 @@
 )
 from seampond.settings.gateway import BoundSettings
 from seampond.testing.gateways import wait_until
-from seampond.testing.scripted import Received
+from seampond.testing.scripted import ReceivedRequest
 
 _DRAIN_MS = 600
 _LONG_DRAIN_MS = 60_000
@@ -94,7 +94,7 @@
         self.release = asyncio.Event()
 
     async def serve(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Answer all requests but the first at once."""
         if request.get(ID_HEADER) == 'r1':
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -40,10 +40,10 @@
 from seampond.sharing import Heartbeat, hash_name
 from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import (
-    Received,
+    ReceivedRequest,
     ScriptedServer,
+    format_response,
     run_scripted,
-    write_answer,
 )
 from seampond.testing.store import StandInStore, run_store
 from seampond.watches import FreshnessProof
@@ -70,13 +70,15 @@
     return GatewaySettings(**(content | changes))
 
 
-async def _serve(request: Received, writer: asyncio.StreamWriter) -> None:
+async def _serve(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = {
         ID_HEADER: request.get(ID_HEADER),
         STAMP_HEADER: 's',
         'X-Own': 'kept',
     }
-    writer.write(write_answer(200, headers, b'whole'))
+    writer.write(format_response(200, headers, b'whole'))
 
 
 def _age_ms(admission: Admission) -> float:
@@ -100,7 +102,7 @@
         self.client: aiosonic.HTTPClient = make_client(20)
 
     async def serve(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Answer as a server."""
         await _serve(request, writer)
@@ -148,7 +150,7 @@
             data=b'ask',
         )
 
-    async def send_chunked(self, target: str, chunks: bytes) -> Received:
+    async def send_chunked(self, target: str, chunks: bytes) -> ReceivedRequest:
         """Send a body in chunks; return the request that the server got."""
         gateway = await self.start_ready()
         host, _, port = gateway.components.settings.listen.rpartition(':')
@@ -204,10 +206,10 @@
         """Its length is that of the answer to GET; no body is awaited."""
 
         async def answer_head(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             headers = {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
-            writer.write(write_answer(200, headers, length=1234))
+            writer.write(format_response(200, headers, length=1234))
 
         self.serve = answer_head  # type: ignore[method-assign]
         gateway = await self.start_ready()
@@ -359,7 +361,7 @@
         release = asyncio.Event()
 
         async def wait_then_serve(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             await release.wait()
             await _serve(request, writer)
--- a/seampond/gateway/tests/test_limits.py
+++ b/seampond/gateway/tests/test_limits.py
@@ -12,7 +12,7 @@
     put_gateway,
 )
 from seampond.testing.gateways import wait_until
-from seampond.testing.scripted import Received
+from seampond.testing.scripted import ReceivedRequest
 
 _SHORT_TIMEOUT_MS = 150
 _LONG_TIMEOUT_MS = 60_000
@@ -106,7 +106,9 @@
         """Each gateway keeps to its share of the pool's limit."""
         release = asyncio.Event()
 
-        async def hold(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def hold(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await release.wait()
             await GatewayCase.serve(self, request, writer)
 
--- a/seampond/gateway/tests/test_rollouts.py
+++ b/seampond/gateway/tests/test_rollouts.py
@@ -23,10 +23,10 @@
 from seampond.tasks import run_tasks
 from seampond.testing.gateways import wait_until
 from seampond.testing.scripted import (
-    Received,
+    ReceivedRequest,
     ScriptedServer,
+    format_response,
     run_scripted,
-    write_answer,
 )
 
 _OLD, _NEW = 'v1', 'v2'
@@ -88,7 +88,7 @@
         await wait_until(lambda: all(map(_is_connected, self.gateways)))
 
     async def serve(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Answer as the old version; hold one request if requested."""
         if self.is_held:
@@ -97,7 +97,7 @@
         self._answer(request, writer, HTTPStatus.OK)
 
     async def serve_new(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Answer as the new version."""
         await asyncio.sleep(self.new_delay_s)
@@ -252,7 +252,10 @@
             self.answers.append(response.status_code)
 
     def _answer(
-        self, request: Received, writer: asyncio.StreamWriter, status: int
+        self,
+        request: ReceivedRequest,
+        writer: asyncio.StreamWriter,
+        status: int,
     ) -> None:
         headers = {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
-        writer.write(write_answer(status, headers, b'whole'))
+        writer.write(format_response(status, headers, b'whole'))
--- a/seampond/gateway/tests/test_rows.py
+++ b/seampond/gateway/tests/test_rows.py
@@ -25,7 +25,12 @@
 from seampond.sharing import Peers
 from seampond.sharing.transport import apply_gateway_rows
 from seampond.testing.builders import build_promises
-from seampond.testing.gateways import ZONE, build_backends, pick, wait_until
+from seampond.testing.gateways import (
+    ZONE,
+    build_backends,
+    get_backend,
+    wait_until,
+)
 from seampond.watches import Page, Row
 
 _VALID: MappingProxyType[str, Any] = MappingProxyType(
@@ -151,18 +156,18 @@
         """It gets no new requests until its row is valid again."""
         for content in _list_invalid():
             self._take(content)
-            invalid = pick(self.backends, 'i-1')
+            invalid = get_backend(self.backends, 'i-1')
             self.assertFalse(invalid.takes_work)
             self.assertFalse(invalid.may_send(0))
             self.assertTrue(invalid.is_listed)
             self._take(_encode({**_VALID}))
-            self.assertTrue(pick(self.backends, 'i-1').takes_work)
+            self.assertTrue(get_backend(self.backends, 'i-1').takes_work)
 
     def test_invalid_row_in_a_snapshot(self) -> None:
         """Its server is not taken for one that was removed."""
         row = Row('i-1', b'{', 3)
         self.follower.handle_page(Page((row,), 9, 0, 0, 0, is_snapshot=True))
-        self.assertTrue(pick(self.backends, 'i-1').is_listed)
+        self.assertTrue(get_backend(self.backends, 'i-1').is_listed)
 
     def test_invalid_row_is_logged_once(self) -> None:
         """However often it is written."""
@@ -184,8 +189,8 @@
         valid = Row('i-2', _encode(_VALID | {'address': '10.0.0.2:80'}), 3)
         page = Page((*invalid_rows, valid), 9, 0, 0, 0, is_snapshot=False)
         self.follower.handle_page(page)
-        self.assertTrue(pick(self.backends, 'i-2').takes_work)
-        self.assertTrue(pick(self.backends, 'i-1').takes_work)
+        self.assertTrue(get_backend(self.backends, 'i-2').takes_work)
+        self.assertTrue(get_backend(self.backends, 'i-1').takes_work)
 
     def _take(self, content: bytes) -> None:
         row = Row('i-1', content, 2)
--- a/seampond/gateway/tests/test_store_restores.py
+++ b/seampond/gateway/tests/test_store_restores.py
@@ -14,7 +14,7 @@
     put_configuration,
     put_server,
 )
-from seampond.testing.gateways import pick, wait_until
+from seampond.testing.gateways import get_backend, wait_until
 
 _WRITES = 30
 _DRAINING = 'draining'
@@ -42,7 +42,7 @@
         await asyncio.sleep(0.3)
         self.store.is_down = True
         await asyncio.sleep(outage_s)
-        self.store.go_back(self.backup_ms)
+        self.store.restore_backup(self.backup_ms)
         self.store.is_down = False
 
     def version_of(self, gateway: RunningGateway) -> int:
@@ -86,7 +86,7 @@
         """Although its restored row says that it is ready."""
         gateway = await self.open()
         self.list_server(state=_DRAINING)
-        backend = pick(gateway.components.backends, 'i-1')
+        backend = get_backend(gateway.components.backends, 'i-1')
         await wait_until(lambda: not backend.takes_work)
         await self.restore_store()
         put_server(self.store, 'i-2', self.server.address)
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -26,8 +26,12 @@
     read_state,
 )
 from seampond.suspension import SuspensionAwareLoop, watch_suspension
-from seampond.testing.gateways import pick, wait_until
-from seampond.testing.scripted import Received, make_chunk, write_chunks
+from seampond.testing.gateways import get_backend, wait_until
+from seampond.testing.scripted import (
+    ReceivedRequest,
+    format_chunk,
+    format_chunked_response,
+)
 
 _JUMPS_S = (2, 10, 60)
 # The timeout of a request in the configuration of these tests.
@@ -112,7 +116,7 @@
         self.is_stream = False
 
     async def serve(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Answer after a while, or with events for a second."""
         if self.is_stream:
@@ -216,7 +220,7 @@
     async def test_suspension_counts_towards_a_backoff(self) -> None:
         """A back-off ends at its time, suspended or not."""
         gateway = await self.start_ready()
-        backend = pick(gateway.components.backends, 'i-1')
+        backend = get_backend(gateway.components.backends, 'i-1')
         clock = gateway.components.clock
         for seconds in _JUMPS_S:
             gateway.components.backends.apply_signals(
@@ -229,14 +233,14 @@
             self.assertTrue(backend.may_send(clock.now()))
 
     async def _serve_events(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         headers = {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
-        writer.write(write_chunks(headers))
+        writer.write(format_chunked_response(headers))
         for number in range(1, _EVENTS + 1):
             await asyncio.sleep(0.1)
-            writer.write(make_chunk(b'id: %d\ndata: x\n\n' % number))
-        writer.write(make_chunk(b''))
+            writer.write(format_chunk(b'id: %d\ndata: x\n\n' % number))
+        writer.write(format_chunk(b''))
 
     async def _check_changes_applied(
         self, gateway: RunningGateway, number: int
--- a/seampond/gateway/tests/test_version_policy.py
+++ b/seampond/gateway/tests/test_version_policy.py
@@ -22,7 +22,7 @@
     build_job,
     build_route,
     build_server,
-    pick,
+    get_backend,
 )
 from seampond.testing.rollouts import NEW, OLD, build_order, build_stub_backends
 
@@ -49,7 +49,7 @@
             hash_name,
         )
         rollouts.apply_orders([build_order()], [], 1000, is_start=False)
-        earlier = pick(backends, 'i-1')
+        earlier = get_backend(backends, 'i-1')
         earlier.record_dispatch()
         self.assertEqual(rollouts.count_open_old(POOL), 1)
         later = replace(first, version=version, started_ms=200)
--- a/seampond/operators/tests/test_commands.py
+++ b/seampond/operators/tests/test_commands.py
@@ -24,7 +24,7 @@
         processes = Processes(folder)
         processes.start('platform')
         try:
-            while processes.read('platform', '/counts') is None:
+            while processes.read_page('platform', '/counts') is None:
                 threading.Event().wait(0.05)
             yield processes
         finally:
--- a/seampond/permits/tests/test_manager.py
+++ b/seampond/permits/tests/test_manager.py
@@ -19,7 +19,7 @@
 )
 from seampond.sharing import Heartbeat, Peers, hash_name
 from seampond.sharing.heartbeats import decode
-from seampond.testing.gateways import NAMES, build_server, pick
+from seampond.testing.gateways import NAMES, build_server, get_backend
 
 _NOW_MS = 50_000
 _RATE = 2.0
@@ -58,7 +58,7 @@
     @property
     def backend(self) -> Backend:
         """The only backend."""
-        return pick(self.backends, 'i-1')
+        return get_backend(self.backends, 'i-1')
 
     @property
     def is_owner(self) -> bool:
--- a/seampond/platform/tests/rows.py
+++ b/seampond/platform/tests/rows.py
@@ -114,7 +114,7 @@
 
 def drop_server(store: StandInStore, server_id: str) -> None:
     """Remove a server's row."""
-    store.drop(names.SERVERS_TABLE, server_id)
+    store.delete(names.SERVERS_TABLE, server_id)
 
 
 def put_gateway(store: StandInStore, name: str) -> None:
@@ -144,7 +144,7 @@
 def drop_order(store: StandInStore) -> None:
     """Withdraw an order."""
     key = f'{names.ROLLOUT_PREFIX}{POOL}'
-    store.drop(names.CONFIGURATION_TABLE, key)
+    store.delete(names.CONFIGURATION_TABLE, key)
 
 
 def read_state(store: StandInStore) -> tuple[str, str]:
--- a/seampond/platform/tests/test_platform.py
+++ b/seampond/platform/tests/test_platform.py
@@ -17,7 +17,11 @@
     parse_configuration,
     parse_server,
 )
-from seampond.testing.scripted import Received, run_scripted, write_answer
+from seampond.testing.scripted import (
+    ReceivedRequest,
+    format_response,
+    run_scripted,
+)
 from seampond.testing.store import run_store
 from seampond.watches import HistoryGoneError
 
@@ -141,7 +145,7 @@
             async with open_table(store.address, 't', Clock()) as table:
                 page = await table.read_all()
                 self.assertEqual([row.content for row in page.rows], [b'one'])
-                store.drop('t', 'a')
+                store.delete('t', 'a')
                 page = await table.read_changes(page.version, 1000)
                 self.assertTrue(page.rows[0].is_deleted)
                 page = await table.read_changes(page.version, 10)
@@ -176,7 +180,7 @@
             store.put('t', 'a', b'old')
             async with open_table(store.address, 't', Clock()) as table:
                 await table.read_all()
-                store.late_ms = 1300
+                store.next_delay_ms = 1300
                 with self.assertRaises(PlatformError):
                     await table.read_all()
                 store.put('t', 'a', b'new')
@@ -189,7 +193,7 @@
             store.put('t', 'a', b'one')
             async with open_table(store.address, 't', Clock()) as table:
                 await table.read_all()
-                store.late_ms = 5000
+                store.next_delay_ms = 5000
                 with self.assertRaises(PlatformError):
                     await table.read_changes(store.version, 10)
                 page = await table.read_all()
@@ -199,9 +203,9 @@
         """Text that is not JSON, or JSON without the required fields."""
 
         async def serve_text(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            writer.write(write_answer(200, {}, texts.pop()))
+            writer.write(format_response(200, {}, texts.pop()))
 
         texts = [b'[]', b'{"rows": [{}], "ver": 1, "now_ms": 1}', b'what']
         async with (
@@ -216,9 +220,9 @@
         """It can be told from a store that does not answer."""
 
         async def serve_half(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            writer.write(write_answer(200, {}, b'{"rows"', length=99))
+            writer.write(format_response(200, {}, b'{"rows"', length=99))
 
         async with (
             run_scripted(serve_half) as server,
@@ -241,11 +245,11 @@
         """Changes between two pages must be requested again."""
 
         async def serve_page(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             row = {names.KEY_FIELD: f'k{len(pages)}', 'ver': 1, 'value': ''}
             page = pages.pop(0) | {'rows': [row]}
-            writer.write(write_answer(200, {}, json.dumps(page).encode()))
+            writer.write(format_response(200, {}, json.dumps(page).encode()))
 
         pages: list[dict[str, object]] = [
             {'ver': 5, 'now_ms': 100, 'more': True},
--- a/seampond/platform/tests/test_store_restores.py
+++ b/seampond/platform/tests/test_store_restores.py
@@ -15,9 +15,9 @@
 from seampond.errors import ConflictError, PlatformError, UnknownOutcomeError
 from seampond.platform.store import RowTransaction, Store
 from seampond.testing.scripted import (
-    Received,
+    ReceivedRequest,
+    format_response,
     run_scripted,
-    write_answer,
 )
 from seampond.testing.store import StandInStore, run_store
 from seampond.watches import (
@@ -70,7 +70,7 @@
 
     def restore_store(self) -> None:
         """Restore the backup and reuse the revision for another content."""
-        self.store.go_back(self.backup_ms)
+        self.store.restore_backup(self.backup_ms)
         self.store.put(_TABLE, 'k', 3)
 
     async def test_feed_does_not_resume_from_an_earlier_era(self) -> None:
@@ -110,11 +110,11 @@
         eras = ['4', '3']
 
         async def answer(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             body = b'{"rows": [], "ver": 9, "now_ms": 5}'
             headers = {'Store-Era': eras.pop(0)}
-            writer.write(write_answer(200, headers, body))
+            writer.write(format_response(200, headers, body))
 
         async with run_scripted(answer) as server:
             client = Store(server.address, Clock())
--- a/seampond/slopes/gateway_fleet.py
+++ b/seampond/slopes/gateway_fleet.py
@@ -35,7 +35,11 @@
     hash_name,
 )
 from seampond.sharing.heartbeats import encode
-from seampond.testing.scripted import Received, run_scripted, write_answer
+from seampond.testing.scripted import (
+    ReceivedRequest,
+    format_response,
+    run_scripted,
+)
 from seampond.testing.store import StandInStore, run_store
 
 _SLOTS = 8
@@ -76,9 +80,11 @@
     )
 
 
-async def _serve(request: Received, writer: asyncio.StreamWriter) -> None:
+async def _serve(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
-    writer.write(write_answer(HTTPStatus.OK, headers, b'whole'))
+    writer.write(format_response(HTTPStatus.OK, headers, b'whole'))
 
 
 def fill_store(
--- a/seampond/slopes/roles.py
+++ b/seampond/slopes/roles.py
@@ -122,7 +122,7 @@
 
 def _measure_command(processes: Processes) -> Slope:
     """Measure one operators' command, the first child to end."""
-    processes.command('template', 'list')
+    processes.run_command('template', 'list')
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     seconds = used.ru_utime + used.ru_stime
     return Slope('command: processor time', seconds * MICROSECONDS, 'us')
@@ -144,7 +144,7 @@
     """Run the example as processes; measure idle, requests and tokens."""
     with run_processes(folder, 'fitlink-kochi', _prepare) as processes:
         command = _measure_command(processes)
-        key = processes.command('workspace', 'key', 'trainers')['key']
+        key = processes.run_command('workspace', 'key', 'trainers')['key']
         idle = [
             _measure_idle(processes, 'entry', _ENTRIES),
             _measure_idle(processes, 'agent', _AGENTS),
--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -21,11 +21,11 @@
 )
 from seampond.tasks import cancel_all
 from seampond.testing.scripted import (
-    Received,
+    ReceivedRequest,
+    format_chunked_response,
+    format_response,
     read_request,
-    reset,
-    write_answer,
-    write_chunks,
+    reset_connection,
 )
 from seampond.testing.store import StandInStore
 
@@ -157,7 +157,7 @@
         self._open.discard(writer)
         writer.close()
 
-    def _record_delivery(self, request: Received) -> Delivery:
+    def _record_delivery(self, request: ReceivedRequest) -> Delivery:
         delivery = Delivery(
             self.clock.now(),
             self.id,
@@ -169,12 +169,12 @@
         return delivery
 
     async def _answer(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         self._record_delivery(request)
         headers = {ID_HEADER: request.get(ID_HEADER), STAMP_HEADER: 's'}
         if self.is_stream:
-            writer.write(write_chunks(headers, EVENT))
+            writer.write(format_chunked_response(headers, EVENT))
         if self.crashes_on(request.body):
             await self.clock.sleep(_CRASH_MS)
             if self._listening is not None:
@@ -183,11 +183,11 @@
             return
         await self.clock.sleep(self.service_ms)
         if self.resets_connections:
-            reset(writer)
+            reset_connection(writer)
         elif self.is_stream:
             writer.write(LAST_CHUNK)
         else:
-            writer.write(write_answer(200, headers, b'whole'))
+            writer.write(format_response(200, headers, b'whole'))
         await writer.drain()
 
 
--- a/seampond/testing/engine/app.py
+++ b/seampond/testing/engine/app.py
@@ -54,7 +54,7 @@
         default_factory=lambda: deque(maxlen=_KEPT_REPORTS)
     )
 
-    def note_run(self, request: Request) -> str:
+    def record_run(self, request: Request) -> str:
         """Count a run by request id and by idempotency key."""
         request_id = request.headers.get(_ID_HEADER, '')
         self.runs[request_id] += 1
@@ -69,7 +69,7 @@
         self.faults.failing -= is_failing
         return is_failing
 
-    def keep_stream(self, request_id: str) -> list[bytes]:
+    def start_recording_stream(self, request_id: str) -> list[bytes]:
         """Start keeping the events of a stream, for resuming it."""
         while len(self.streams) >= _KEPT_STREAMS:
             self.streams.pop(next(iter(self.streams)))
@@ -137,7 +137,7 @@
 async def _answer(
     engine: Engine, sequence: Sequence, is_stream: bool
 ) -> AsyncIterator[bytes]:
-    kept = engine.keep_stream(sequence.request_id)
+    kept = engine.start_recording_stream(sequence.request_id)
     texts = []
     async with aclosing(_texts(engine, sequence)) as produced:
         async for text in produced:
@@ -167,7 +167,7 @@
 def _model_routes(engine: Engine) -> list[Route]:
     async def chat(request: Request) -> Response:
         content = await request.json()
-        request_id = engine.note_run(request)
+        request_id = engine.record_run(request)
         if engine.is_failing():
             return _FAILING
         sequence = _make_sequence(request_id, content)
@@ -210,7 +210,7 @@
 
 def _service_routes(engine: Engine) -> list[Route]:
     async def serve(request: Request) -> Response:
-        request_id = engine.note_run(request)
+        request_id = engine.record_run(request)
         if engine.is_failing():
             return _FAILING
         body = await request.body()
--- a/seampond/testing/fleets.py
+++ b/seampond/testing/fleets.py
@@ -7,7 +7,7 @@
 
 from seampond.clock import Clock
 from seampond.demo.fleet import Fleet, copy_with_free_ports, run_fleet
-from seampond.testing.processes import EXAMPLES, Prepare
+from seampond.testing.processes import EXAMPLES, PrepareFolder
 
 
 def change_nothing(_folder: Path) -> None:
@@ -16,7 +16,7 @@
 
 @asynccontextmanager
 async def open_fleet(
-    prepare: Prepare = change_nothing,
+    prepare: PrepareFolder = change_nothing,
 ) -> AsyncIterator[Fleet]:
     """Run the FitLink example in this process, on free ports."""
     with TemporaryDirectory() as scratch:
--- a/seampond/testing/gateway_processes.py
+++ b/seampond/testing/gateway_processes.py
@@ -19,7 +19,7 @@
 from seampond.platform.names import READY_PATH
 from seampond.testing.store import StandInStore
 
-GATEWAYS = 3
+GATEWAY_COUNT = 3
 _PORTS = 4
 _READY_S = 30
 _SETTINGS = """[gateway]
@@ -113,7 +113,7 @@
     gateways = []
     # Of a range of their own: a port of a gateway that is down stays free.
     ports = free_ports()
-    for number in range(GATEWAYS):
+    for number in range(GATEWAY_COUNT):
         name = f'g{number}'
         own = tuple(f'127.0.0.1:{port}' for port in islice(ports, _PORTS))
         path = folder / f'{name}.toml'
--- a/seampond/testing/gateway_soak.py
+++ b/seampond/testing/gateway_soak.py
@@ -23,7 +23,7 @@
 )
 from seampond.testing.crashing import CRASHING_BODY
 from seampond.testing.gateway_processes import (
-    GATEWAYS,
+    GATEWAY_COUNT,
     GatewayProcess,
     run_gateways,
     unpack_build,
@@ -199,7 +199,7 @@
     ):
         configuration = ConfigurationRow(kind=kind)
         put_configuration(store, configuration)
-        await wait_ready(gateways, make_client(GATEWAYS, reuses=False))
+        await wait_ready(gateways, make_client(GATEWAY_COUNT, reuses=False))
         context = SoakContext(
             gateways,
             fleet,
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         """Start with nothing."""
         self.has_started = False
-        self.is_whole = False
+        self.is_complete = False
         self.head = ResponseHead()
         self.body = b''
 
@@ -80,7 +80,7 @@
 
     async def finish(self) -> None:
         """Note the end."""
-        self.is_whole = True
+        self.is_complete = True
 
 
 def build_route(**changes: Any) -> Route:
@@ -191,7 +191,7 @@
     return Progress(build_job(**changes), sink), sink
 
 
-def pick(backends: Backends, server_id: str) -> Backend:
+def get_backend(backends: Backends, server_id: str) -> Backend:
     """Give one server of a list."""
     backend = backends.get(server_id)
     assert backend is not None
--- a/seampond/testing/known_red.py
+++ b/seampond/testing/known_red.py
@@ -77,11 +77,12 @@
     """
     by_id = {test.id(): test for test in tests}
     return [
-        _run_often(test_id, by_id.get(test_id), times) for test_id in listed
+        _run_repeatedly(test_id, by_id.get(test_id), times)
+        for test_id in listed
     ]
 
 
-def _run_often(
+def _run_repeatedly(
     test_id: str, test: unittest.TestCase | None, times: int
 ) -> Tally:
     if test is None:
--- a/seampond/testing/narrow_links.py
+++ b/seampond/testing/narrow_links.py
@@ -26,14 +26,14 @@
     ----------
     changes : list[tuple[int, Row]]
         When each change was made, and the row from then on.
-    oldest : int
+    oldest_version : int
         The oldest version that a feed still knows.
 
     """
 
     clock: Clock
     version: int = 1
-    oldest: int = 0
+    oldest_version: int = 0
     rows: dict[str, Row] = field(default_factory=dict)
     changes: list[tuple[int, Row]] = field(default_factory=list)
 
@@ -44,7 +44,7 @@
         self.rows[key] = row
         self.changes.append((self.clock.now(), row))
 
-    def newest_before(self, at_ms: int) -> dict[str, int]:
+    def versions_at(self, at_ms: int) -> dict[str, int]:
         """Give the version of each row at a moment."""
         return {
             row.key: row.version
@@ -98,7 +98,7 @@
         sent_ms = self._clock.now()
         await self._reach()
         while True:
-            if since < self._table.oldest:
+            if since < self._table.oldest_version:
                 raise HistoryGoneError('gone', step=_STEP)
             rows = tuple(
                 row for _, row in self._table.changes if row.version > since
--- a/seampond/testing/processes.py
+++ b/seampond/testing/processes.py
@@ -24,7 +24,7 @@
 _STOP_SECONDS = 60
 _SHOWN_LINES = 12
 
-Prepare = Callable[[Path], None]
+PrepareFolder = Callable[[Path], None]
 
 
 @dataclass
@@ -82,11 +82,11 @@
         address = self.address(name)
         return f'http://{address}'
 
-    def read(self, name: str, path: str) -> Any:
+    def read_page(self, name: str, path: str) -> Any:
         """Give the JSON of a page, None if it does not answer."""
-        return self.read_at(self.address(name), path)
+        return self.read_page_at(self.address(name), path)
 
-    def read_at(self, address: str, path: str) -> Any:
+    def read_page_at(self, address: str, path: str) -> Any:
         """Give the JSON of a page at an address, None without answer."""
         try:
             with request.urlopen(f'http://{address}{path}') as page:
@@ -106,7 +106,7 @@
         for name, process in self.running.items():
             status = process.poll()
             if status is not None:
-                log = read_end(self.folder / f'{name}.log')
+                log = read_tail(self.folder / f'{name}.log')
                 raise ChildProcessError(
                     f'{name} ended with status {status}: {log}'
                 )
@@ -114,7 +114,7 @@
     def wait_until_linked(self, entry: str, agents: int) -> None:
         """Wait until an entry is ready and linked to `agents` agents."""
         for _ in range(_POLLS):
-            status = self.read(entry, '/status') or {'agents': []}
+            status = self.read_page(entry, '/status') or {'agents': []}
             ready = [
                 agent for agent in status['agents'] if agent['state'] == 'ready'
             ]
@@ -124,7 +124,7 @@
             sleep(_POLL_SECONDS)
         raise TimeoutError(f'{entry} did not come up: {status}')
 
-    def command(self, *words: str) -> Any:
+    def run_command(self, *words: str) -> Any:
         """Run an operators' command and give its JSON."""
         done = subprocess.run(
             [
@@ -149,7 +149,7 @@
             process.wait()
 
 
-def read_end(log: Path) -> str:
+def read_tail(log: Path) -> str:
     """Give the last lines of a log."""
     lines = log.read_text(encoding='utf-8', errors='replace').splitlines()
     return '\n'.join(lines[-_SHOWN_LINES:])
@@ -184,7 +184,7 @@
     def _show_logs(self) -> None:
         lines = [f'logs of {self.id()} are kept in {self.folder}']
         for log in sorted(self.folder.glob('*.log')):
-            lines.extend((f'{log.name}:', read_end(log)))
+            lines.extend((f'{log.name}:', read_tail(log)))
         sys.stderr.write('\n'.join((*lines, '')))
 
 
@@ -194,7 +194,7 @@
 
 @contextmanager
 def run_processes(
-    folder: Path, deployment: str, prepare: Prepare
+    folder: Path, deployment: str, prepare: PrepareFolder
 ) -> Iterator[Processes]:
     """Run every role of a deployment in a process of its own.
 
--- a/seampond/testing/scripted.py
+++ b/seampond/testing/scripted.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class ReceivedRequest:
     """A request as it came."""
 
     method: str
@@ -36,7 +36,9 @@
         return ''
 
 
-Handle = Callable[[Received, asyncio.StreamWriter], Awaitable[None]]
+RequestHandler = Callable[
+    [ReceivedRequest, asyncio.StreamWriter], Awaitable[None]
+]
 
 
 @dataclass
@@ -45,25 +47,25 @@
 
     Parameters
     ----------
-    left : int
+    disconnect_count : int
         Connections that the other side has ended.
 
     """
 
     address: str = ''
-    received: list[Received] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
-    left: int = 0
+    disconnect_count: int = 0
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Break a connection with a reset, not with a clean end."""
     raw = writer.get_extra_info('socket')
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
     writer.transport.abort()
 
 
-async def read_request(reader: asyncio.StreamReader) -> Received:
+async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
     """Read one request, with a body of a told length."""
     head = await reader.readuntil(_END)
     first, *lines = head[: -len(_END)].split(b'\r\n')
@@ -74,11 +76,11 @@
     for name, text in headers:
         if name.lower() == b'content-length':
             body = await reader.readexactly(int(text))
-    return Received(method.decode(), target, headers, body)
+    return ReceivedRequest(method.decode(), target, headers, body)
 
 
 @asynccontextmanager
-async def run_scripted(handle: Handle) -> AsyncIterator[ScriptedServer]:
+async def run_scripted(handle: RequestHandler) -> AsyncIterator[ScriptedServer]:
     """Serve on a free port of loopback until the end of the `with`."""
     server = ScriptedServer()
     tasks: set[asyncio.Task[None]] = set()
@@ -97,7 +99,7 @@
                 await handle(request, writer)
                 await writer.drain()
         except _ENDS:
-            server.left += 1
+            server.disconnect_count += 1
         finally:
             writer.close()
 
@@ -111,7 +113,7 @@
         await cancel_all(tasks)
 
 
-def write_answer(
+def format_response(
     status: int,
     headers: Mapping[str, str],
     body: bytes = b'',
@@ -127,15 +129,17 @@
     return b''.join((head, _END, body))
 
 
-def write_chunks(headers: Mapping[str, str], *chunks: bytes) -> bytes:
+def format_chunked_response(
+    headers: Mapping[str, str], *chunks: bytes
+) -> bytes:
     """Give a chunked answer; an empty last chunk ends it."""
     lines = ['HTTP/1.1 200 OK', 'Transfer-Encoding: chunked']
     lines.extend(f'{name}: {text}' for name, text in headers.items())
     parts = ['\r\n'.join(lines).encode(), _END]
-    parts.extend(map(make_chunk, chunks))
+    parts.extend(map(format_chunk, chunks))
     return b''.join(parts)
 
 
-def make_chunk(chunk: bytes) -> bytes:
+def format_chunk(chunk: bytes) -> bytes:
     """Give the bytes of one chunk; an empty one ends an answer."""
     return b'%x\r\n%b\r\n' % (len(chunk), chunk)
--- a/seampond/testing/signalling.py
+++ b/seampond/testing/signalling.py
@@ -19,7 +19,11 @@
     Delivery,
     run_servers,
 )
-from seampond.testing.scripted import Received, write_answer, write_chunks
+from seampond.testing.scripted import (
+    ReceivedRequest,
+    format_chunked_response,
+    format_response,
+)
 from seampond.testing.store import StandInStore
 
 LEAVING_HEADER = HEADERS.leaving.decode()
@@ -112,7 +116,7 @@
         super().put_row(**changes)
 
     async def _answer(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         if self.crashes_on(request.body):
             await super()._answer(request, writer)
@@ -153,19 +157,19 @@
             headers[_RETRY_AFTER] = self.retry_after
             backoff_ms = round(float(self.retry_after) * MS_PER_SECOND)
             self.rejections.append(Rejection(delivery, backoff_ms))
-        writer.write(write_answer(503, headers))
+        writer.write(format_response(503, headers))
 
     async def _serve_response(
         self, headers: dict[str, str], writer: asyncio.StreamWriter
     ) -> None:
         headers[STAMP_HEADER] = self.id
         if self.is_stream:
-            writer.write(write_chunks(headers, EVENT))
+            writer.write(format_chunked_response(headers, EVENT))
         await self.clock.sleep(self.service_ms)
         if self.is_stream:
             writer.write(LAST_CHUNK)
         else:
-            writer.write(write_answer(200, headers, b'whole'))
+            writer.write(format_response(200, headers, b'whole'))
 
 
 @dataclass
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -134,7 +134,7 @@
     context.store.is_down = True
     await context.clock.sleep(context.rng.uniform(100, 1000))
     lost_ms = context.rng.uniform(500, 3000)
-    context.store.go_back(round(context.clock.now() - lost_ms))
+    context.store.restore_backup(round(context.clock.now() - lost_ms))
     context.store.is_down = False
     await context.clock.sleep(context.rng.uniform(0, 1000))
     put_configuration(context.store, context.configuration)
--- a/seampond/testing/store.py
+++ b/seampond/testing/store.py
@@ -11,7 +11,11 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.platform import names
-from seampond.testing.scripted import Received, run_scripted, write_answer
+from seampond.testing.scripted import (
+    ReceivedRequest,
+    format_response,
+    run_scripted,
+)
 
 # How often a part of an answer goes out over a narrow link.
 _PART_MS = 50
@@ -23,11 +27,11 @@
 
     Parameters
     ----------
-    late_ms : int
+    next_delay_ms : int
         How late the next answers are.
     is_down : bool
         Whether each call is answered with 503.
-    oldest : int
+    oldest_version : int
         The oldest version that feeds still know.
     bytes_per_s : int
         How fast answers go out, 0 for any speed: a narrow link of the caller.
@@ -39,9 +43,9 @@
     clock: Clock = field(default_factory=Clock)
     address: str = ''
     version: int = 1
-    late_ms: int = 0
+    next_delay_ms: int = 0
     is_down: bool = False
-    oldest: int = 0
+    oldest_version: int = 0
     bytes_per_s: int = 0
     era: int = 0
     rows: dict[tuple[str, str], dict[str, object]] = field(default_factory=dict)
@@ -56,16 +60,16 @@
         raw = text if isinstance(text, bytes) else text.encode()
         self._store(table, key, {'value': base64.b64encode(raw).decode()})
 
-    def drop(self, table: str, key: str) -> None:
+    def delete(self, table: str, key: str) -> None:
         """Remove a row."""
         self._store(table, key, {'gone': True})
 
     def compact(self) -> None:
         """Forget the history."""
-        self.oldest = self.version
+        self.oldest_version = self.version
         self._wake()
 
-    def go_back(self, since_ms: int) -> None:
+    def restore_backup(self, since_ms: int) -> None:
         """Be restored from a copy of a moment; later writes are lost."""
         kept = bisect.bisect_right(self._written_ms, since_ms)
         self._history = self._history[:kept]
@@ -79,12 +83,14 @@
         self.era += 1
         self._wake()
 
-    def answer(self, request: Received, content: object) -> bytes:
+    def build_response(
+        self, request: ReceivedRequest, content: object
+    ) -> bytes:
         """Give the bytes of a good answer."""
         return self._stamp(200, json.dumps(content).encode())
 
     async def handle(
-        self, request: Received, writer: asyncio.StreamWriter
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         """Answer one call."""
         parts = urlsplit(request.target.decode())
@@ -93,8 +99,8 @@
             writer.write(self._stamp(503))
             return
         query = {name: text[0] for name, text in parse_qs(parts.query).items()}
-        late_ms = self.late_ms
-        self.late_ms = 0
+        next_delay_ms = self.next_delay_ms
+        self.next_delay_ms = 0
         if parts.path == names.FEED_PATH:
             content = await self._feed(query)
         elif parts.path == names.READ_PATH:
@@ -111,12 +117,12 @@
             'ver': self.version,
             'now_ms': self.clock.now() + 1_000_000,
         } | content
-        await asyncio.sleep(late_ms / MS_PER_SECOND)
-        await self._send(writer, self.answer(request, stamped))
+        await asyncio.sleep(next_delay_ms / MS_PER_SECOND)
+        await self._send(writer, self.build_response(request, stamped))
 
     def _stamp(self, status: int, body: bytes = b'') -> bytes:
         headers = {names.ERA_HEADER.decode(): str(self.era)} if self.era else {}
-        return write_answer(status, headers, body)
+        return format_response(status, headers, body)
 
     async def _send(self, writer: asyncio.StreamWriter, answer: bytes) -> None:
         """Send an answer at the speed of the link."""
@@ -134,7 +140,7 @@
         until_ms = self.clock.now() + int(query[names.WAIT_PARAMETER])
         era = self.era
         while True:
-            is_known = self.oldest <= since <= self.version
+            is_known = self.oldest_version <= since <= self.version
             if era != self.era or not is_known:
                 return None
             content = self._changes(query['table'], since)
@@ -172,7 +178,7 @@
             if version != expected['ver']:
                 return False
         for row in body.get(names.REMOVED_FIELD, []):
-            self.drop(row['table'], row[names.KEY_FIELD])
+            self.delete(row['table'], row[names.KEY_FIELD])
         for row in body.get('put', []):
             content = base64.b64decode(row['value'])
             self.put(row['table'], row[names.KEY_FIELD], content)
--- a/seampond/watches/tests/test_narrow_links.py
+++ b/seampond/watches/tests/test_narrow_links.py
@@ -89,7 +89,7 @@
         now_ms = self.table.clock.now()
         if self.link.is_cut or now_ms < self.healed_ms + _RECOVERY_MS:
             return []
-        due = self.table.newest_before(now_ms - _DEADLINE_MS)
+        due = self.table.versions_at(now_ms - _DEADLINE_MS)
         return [key for key in due if self.versions.get(key, 0) < due[key]]
 
 
@@ -161,10 +161,10 @@
                 gap_ms if is_frequent else _SLOW_GAP_MS
             )
             self.table.put('whole', size)
-            retained = self.table.newest_before(
+            retained = self.table.versions_at(
                 self.table.clock.now() - _HISTORY_MS
             )
-            self.table.oldest = max(retained.values(), default=0)
+            self.table.oldest_version = max(retained.values(), default=0)
 
     async def _send_proofs(self) -> None:
         while True:
