--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -23,8 +23,8 @@
 
     name: str
     module: str
-    lines: str
-    off: str
+    source: str
+    replacement: str
 
     @property
     def path(self) -> Path:
@@ -133,20 +133,20 @@
 
 
 @contextmanager
-def switch_off(mechanism: Mechanism) -> Iterator[None]:
+def disable(mechanism: Mechanism) -> Iterator[None]:
     """Change the lines for the time of the `with`."""
     text = mechanism.path.read_text(encoding='utf-8')
-    if text.count(mechanism.lines) != 1:
+    if text.count(mechanism.source) != 1:
         sys.exit(f'{mechanism.name}: its lines are not in {mechanism.path}')
-    off = text.replace(mechanism.lines, mechanism.off)
-    mechanism.path.write_text(off, encoding='utf-8')
+    replacement = text.replace(mechanism.source, mechanism.replacement)
+    mechanism.path.write_text(replacement, encoding='utf-8')
     try:
         yield
     finally:
         mechanism.path.write_text(text, encoding='utf-8')
 
 
-def play(why: str, words: list[str]) -> None:
+def run_days(why: str, words: list[str]) -> None:
     """Play the days; the lines of `bin/play.py` are printed."""
     script = str(Path(__file__).with_name('play.py'))
     subprocess.run([sys.executable, script, *words, '--why', why], check=True)
@@ -160,11 +160,11 @@
     parser.add_argument('--only', default='', help='one mechanism by its name')
     options, words = parser.parse_known_args()
     if not options.only:
-        play('ablation: all mechanisms', words)
+        run_days('ablation: all mechanisms', words)
     for mechanism in MECHANISMS:
         if options.only in ('', mechanism.name):
-            with switch_off(mechanism):
-                play(f'ablation: without {mechanism.name}', words)
+            with disable(mechanism):
+                run_days(f'ablation: without {mechanism.name}', words)
 
 
 if __name__ == '__main__':
--- a/bin/play.py
+++ b/bin/play.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class DayRun:
     """One day on one seed."""
 
     bench: str
@@ -97,13 +97,15 @@
         '--small', action='store_true', help='small twins of large days'
     )
     options = parser.parse_args()
-    plays = [
-        Play(options.bench, options.site, day, seed, options.why, options.small)
+    day_runs = [
+        DayRun(
+            options.bench, options.site, day, seed, options.why, options.small
+        )
         for day in options.days.split(',')
         for seed in options.seeds.split(',')
     ]
     with ThreadPoolExecutor(options.jobs) as pool:
-        list(pool.map(Play.run, plays))
+        list(pool.map(DayRun.run, day_runs))
     print_means(read_days(options.why))
 
 
--- a/bin/rounds.py
+++ b/bin/rounds.py
@@ -27,7 +27,7 @@
     ]
 
 
-def _tell(day: dict[str, Any] | None, figure: str, digits: int) -> str:
+def format_figure(day: dict[str, Any] | None, figure: str, digits: int) -> str:
     """Give a figure of a day, a dash where the day was not played."""
     return '-' if day is None else str(round(day[figure], digits))
 
@@ -44,7 +44,7 @@
         entry['id'],
         entry[SITE],
         f'{entry["score"]:.3f}',
-        *(_tell(days.get(name), 'score', 2) for name in DAYS),
+        *(format_figure(days.get(name), 'score', 2) for name in DAYS),
         ', '.join(broken) or 'none',
         entry['why'],
     ]
@@ -61,7 +61,7 @@
         entry['id'],
         entry[SITE],
         f'{mean:.3f}',
-        *(_tell(days.get(name), 'G', 3) for name in DAYS),
+        *(format_figure(days.get(name), 'G', 3) for name in DAYS),
         entry['why'],
     ]
 
--- a/seampond/demo/__main__.py
+++ b/seampond/demo/__main__.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 
 from seampond.clock import Clock
-from seampond.demo.drive import DemoReport, drive
 from seampond.demo.fleet import Fleet, copy_with_free_ports, run_fleet
+from seampond.demo.load_generator import DemoReport, generate_load
 from seampond.demo.traffic import make_calls
-from seampond.demo.verify import find_wrong
+from seampond.demo.verify import find_violations
 from seampond.logs import set_up_logs
 
 EXAMPLES = Path(__file__).resolve().parent.parent.parent / 'examples'
@@ -74,13 +74,13 @@
             await asyncio.Event().wait()
         print(f'sending {CALLS} requests over {SECONDS} s', flush=True)
         calls = list(make_calls(fleet, CALLS, seed))
-        report = await drive(fleet, calls, SECONDS, clock)
-        wrong = find_wrong(fleet, report.wrong, report.not_run)
+        report = await generate_load(fleet, calls, SECONDS, clock)
+        violations = find_violations(fleet, report.violations, report.not_run)
     print_report(report)
-    for line in wrong:
+    for line in violations:
         print(f'WRONG: {line}')
-    print('promises were broken' if wrong else 'every promise held')
-    return int(bool(wrong))
+    print('promises were broken' if violations else 'every promise held')
+    return int(bool(violations))
 
 
 def main() -> int:
--- a/seampond/demo/fleet.py
+++ b/seampond/demo/fleet.py
@@ -62,14 +62,14 @@
     entries: list[RunningEntry]
     keys: dict[str, str]
     slots: list[AgentSlot]
-    broken_before: list[int] = field(default_factory=list)
+    broken_by_stopped_agents: list[int] = field(default_factory=list)
 
     async def replace_agent(self, index: int, *, planned: bool) -> None:
         """End an agent and start a new one on its address."""
         if planned:
             await self.agents[index].drain()
         await self.slots[index].stop()
-        self.broken_before.append(self.agents[index].promises.broken)
+        self.broken_by_stopped_agents.append(self.agents[index].promises.broken)
         self.agents[index] = await self.slots[index].start()
 
     @property
@@ -77,7 +77,7 @@
         """Violations seen by any role."""
         agents = sum(agent.promises.broken for agent in self.agents)
         entries = sum(entry.parts.promises.broken for entry in self.entries)
-        return agents + entries + sum(self.broken_before)
+        return agents + entries + sum(self.broken_by_stopped_agents)
 
 
 def _is_free(port: int) -> bool:
--- a/seampond/demo/drive.py
+++ b/seampond/demo/load_generator.py
@@ -35,7 +35,7 @@
     """All tiers, and what was wrong."""
 
     tiers: dict[int, TierReport] = field(default_factory=dict)
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     not_run: list[str] = field(default_factory=list)
 
     def tier(self, number: int) -> TierReport:
@@ -75,7 +75,7 @@
     return await caller.post(path, b'{}', **headers)
 
 
-async def drive(
+async def generate_load(
     fleet: Fleet, calls: list[Call], seconds: float, clock: Clock
 ) -> DemoReport:
     """Send `calls` evenly over `seconds`, never waiting for answers."""
@@ -89,7 +89,7 @@
             reply = await _send(client, fleet, call)
             _check(call, reply, report)
         except FAILURES as error:
-            report.wrong.append(f'call {call.number}: {error!r}')
+            report.violations.append(f'call {call.number}: {error!r}')
             return
         if reply.is_ok:
             took_ms = clock.now() - started_ms
--- a/seampond/demo/verify.py
+++ b/seampond/demo/verify.py
@@ -5,7 +5,7 @@
 from seampond.demo.fleet import Fleet
 
 
-def find_wrong(
+def find_violations(
     fleet: Fleet, seen: Iterable[str], not_run: Iterable[str]
 ) -> list[str]:
     """Give every promise that did not hold, as a line each.
@@ -18,26 +18,28 @@
         Ids of the requests that were refused as not run.
 
     """
-    wrong = list(seen)
+    violations = list(seen)
     ran: set[str] = set()
     for running in fleet.engines:
         engine = running.engine
         ran.update(engine.runs)
-        wrong += [
+        violations += [
             f'request {request_id} ran {count} times'
             for request_id, count in engine.runs.items()
             if count > 1
         ]
-        wrong += [
+        violations += [
             f'idempotency key {key} ran {count} times'
             for key, count in engine.keys.items()
             if count > 1
         ]
-    wrong += [
+    violations += [
         f'request {request_id} was refused as not run, and ran'
         for request_id in not_run
         if request_id in ran
     ]
     if fleet.promises_broken:
-        wrong.append(f'{fleet.promises_broken} promises broken in the program')
-    return wrong
+        violations.append(
+            f'{fleet.promises_broken} promises broken in the program'
+        )
+    return violations
--- a/seampond/operators/base.py
+++ b/seampond/operators/base.py
@@ -46,7 +46,7 @@
     def handle(self) -> int:
         """Run; 2 for bad settings or arguments, 1 for other failures."""
         try:
-            return self.work()
+            return self.run_command()
         except SettingsError as error:
             self.line_error(f'<error>{error.message}</error>')
             return EXIT_SETTINGS
@@ -55,7 +55,7 @@
             return EXIT_FAILED
 
     @abstractmethod
-    def work(self) -> int:
+    def run_command(self) -> int:
         """Do the command's work."""
 
     def settings_path(self) -> Path:
@@ -74,7 +74,7 @@
             )
         return Path(path)
 
-    def show(self, content: Any, text: str) -> int:
+    def print_output(self, content: Any, text: str) -> int:
         """Print JSON or text, as asked."""
         self.line(json.dumps(content) if self.option('json') else text)
         return EXIT_OK
@@ -83,16 +83,18 @@
 class OperatorCommand(BaseCommand):
     """A command that talks to the table service."""
 
-    def work(self) -> int:
-        """Open the table service and go on with :meth:`edit`."""
+    def run_command(self) -> int:
+        """Open the table service and go on with :meth:`run_with_editor`."""
         settings = load_settings(self.settings_path(), OperatorSettings)
-        return asyncio.run(self._work(settings))
+        return asyncio.run(self._open_and_run(settings))
 
     @abstractmethod
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Do the command's work."""
 
-    def from_version(self) -> int | None:
+    def parse_from_version(self) -> int | None:
         """Give the version that the edit started from, if it was named.
 
         Raises
@@ -110,12 +112,12 @@
             )
         return int(text)
 
-    def show_generation(self, generation: int) -> int:
+    def print_generation(self, generation: int) -> int:
         """Print the generation that an edit made."""
-        return self.show(
+        return self.print_output(
             {'generation': generation}, f'accepted as generation {generation}'
         )
 
-    async def _work(self, settings: OperatorSettings) -> int:
+    async def _open_and_run(self, settings: OperatorSettings) -> int:
         async with open_editor(settings) as editor:
-            return await self.edit(editor, settings)
+            return await self.run_with_editor(editor, settings)
--- a/seampond/operators/programs.py
+++ b/seampond/operators/daemon_commands.py
@@ -27,7 +27,7 @@
     model: type[AnySettings]
     run_role: ClassVar[Run]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         """Load the settings and run."""
         read = partial(load_settings, self.settings_path(), self.model)
         settings: Any = read()
--- a/seampond/operators/edits.py
+++ b/seampond/operators/edits.py
@@ -101,7 +101,7 @@
         start = ''.join((page[-1].key, '\0'))
 
 
-async def show_row(editor: Editor, table: str, key: str) -> Row:
+async def read_row(editor: Editor, table: str, key: str) -> Row:
     """Give one row.
 
     Raises
@@ -148,7 +148,7 @@
     editor: Editor, name: str, version: int | None
 ) -> int:
     """Delete a template; give the generation."""
-    row = await show_row(editor, TEMPLATES, name)
+    row = await read_row(editor, TEMPLATES, name)
     return await _commit(editor, TEMPLATES, row, name, None, version)
 
 
@@ -160,7 +160,7 @@
     version: int | None,
 ) -> int:
     """Set a workspace's parameters for one template; give the generation."""
-    await show_row(editor, TEMPLATES, template)
+    await read_row(editor, TEMPLATES, template)
     row = await editor.tables.read(WORKSPACES, name)
     content: dict[str, Any] = {'name': name, 'parameters': {}}
     if row:
@@ -175,19 +175,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyEdit:
+class CreatedKey:
     """A new key and the generation that holds its hash."""
 
     key: str
     generation: int
 
 
-async def add_key(editor: Editor, name: str, *, revoke: bool) -> KeyEdit:
+async def add_key(editor: Editor, name: str, *, revoke: bool) -> CreatedKey:
     """Make a key for a workspace; `revoke` ends all earlier ones."""
-    row = await show_row(editor, WORKSPACES, name)
+    row = await read_row(editor, WORKSPACES, name)
     made = make_key(name)
     kept = [] if revoke else row.content['key_hashes']
     content = {**row.content, 'key_hashes': [*kept, made.key_hash]}
     checked = _validate(Workspace, content)
     generation = await _commit(editor, WORKSPACES, row, name, checked, None)
-    return KeyEdit(made.key, generation)
+    return CreatedKey(made.key, generation)
--- a/seampond/operators/explain.py
+++ b/seampond/operators/explain.py
@@ -15,8 +15,8 @@
 
 _CONTEXT_SECONDS = 3.0
 _TIME_FORMAT = '%Y-%m-%d %H:%M:%S,%f'
-_OVER = 'request over'
-_BELIEFS = frozenset(
+_REQUEST_OVER_EVENT = 'request over'
+_STATE_EVENTS = frozenset(
     (
         'configuration in force',
         'gateway heard',
@@ -32,7 +32,7 @@
 _OMITTED = frozenset(
     ('time', 'level', 'logger', 'event', 'process', 'request', 'tried')
 )
-_MEANINGS = MappingProxyType(
+_OUTCOME_MEANINGS = MappingProxyType(
     {
         'answered': 'a server answered; see its try',
         'caller-gone': 'the caller left before the answer was whole',
@@ -53,12 +53,12 @@
 )
 
 
-class NoLineError(SeampondError):
+class RequestNotFoundError(SeampondError):
     """No log file has a line of the request."""
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One line of a log; `seconds` is its process's time of day."""
 
     process: str
@@ -71,7 +71,7 @@
         return str(self.fields.get('event', ''))
 
 
-def _parse_line(text: str, source: str) -> Line | None:
+def _parse_line(text: str, source: str) -> LogLine | None:
     # What stands before the object is the collector's own prefix.
     start = text.find('{')
     if start < 0:
@@ -81,10 +81,10 @@
         at = datetime.strptime(fields['time'], _TIME_FORMAT)
     except (ValueError, KeyError, TypeError):
         return None
-    return Line(fields.get('process') or source, at.timestamp(), fields)
+    return LogLine(fields.get('process') or source, at.timestamp(), fields)
 
 
-def read_lines(paths: Iterable[Path]) -> Iterator[Line]:
+def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
     """Give the lines of log files; what is no line of ours is passed over.
 
     Raises
@@ -106,13 +106,13 @@
                 yield line
 
 
-def _is_context(line: Line, over: Line) -> bool:
-    if line.process != over.process or line.event not in _BELIEFS:
+def _precedes_decision(line: LogLine, over: LogLine) -> bool:
+    if line.process != over.process or line.event not in _STATE_EVENTS:
         return False
     return 0 <= over.seconds - line.seconds <= _CONTEXT_SECONDS
 
 
-def select_lines(request: str, lines: Iterable[Line]) -> list[Line]:
+def select_lines(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
     """Give the lines of a request, and what its processes believed before.
 
     Raises
@@ -124,19 +124,21 @@
     known = list(lines)
     own = [line for line in known if line.fields.get('request') == request]
     if not own:
-        raise NoLineError(
+        raise RequestNotFoundError(
             f'no line of request {request!r}; name the logs of all gateways',
             step='explain',
         )
-    ends = [line for line in own if line.event == _OVER] or own
+    ends = [line for line in own if line.event == _REQUEST_OVER_EVENT] or own
     context = [
-        line for line in known if any(_is_context(line, end) for end in ends)
+        line
+        for line in known
+        if any(_precedes_decision(line, end) for end in ends)
     ]
     chosen = own + context
     return sorted(chosen, key=lambda line: line.seconds)
 
 
-def _describe(line: Line) -> str:
+def _format_line(line: LogLine) -> str:
     details = ', '.join(
         f'{name} {text}'
         for name, text in line.fields.items()
@@ -146,7 +148,7 @@
     return f'{moment} {line.process}: {line.event} ({details})'
 
 
-def _describe_try(one: dict[str, Any]) -> str:
+def _format_attempt(one: dict[str, Any]) -> str:
     text = (
         'sent to {server}: thought to hold {load}, pace {pace}, first byte '
         'expected after {expected_ms} ms'
@@ -156,23 +158,25 @@
     return f'    {text}, {first}; {one["outcome"]}'
 
 
-def explain_lines(lines: Iterable[Line]) -> list[str]:
+def explain_lines(lines: Iterable[LogLine]) -> list[str]:
     """Give the story of a request, the deciding step last.
 
     Parameters
     ----------
-    lines : Iterable[Line]
+    lines : Iterable[LogLine]
         What :func:`select_lines` gave.
 
     """
     story: list[str] = []
     for line in lines:
-        story.append(_describe(line))
-        if line.event != _OVER:
+        story.append(_format_line(line))
+        if line.event != _REQUEST_OVER_EVENT:
             continue
-        story.extend(_describe_try(one) for one in line.fields['tried'])
+        story.extend(_format_attempt(one) for one in line.fields['tried'])
         outcome = str(line.fields['outcome']).removeprefix('cut: ')
-        meaning = _MEANINGS.get(outcome, 'see the cause in OPERATORS.md')
+        meaning = _OUTCOME_MEANINGS.get(
+            outcome, 'see the cause in OPERATORS.md'
+        )
         story.append(f'  decided at {line.process}: {outcome}: {meaning}')
     return story
 
@@ -188,7 +192,7 @@
     ]
     options = [json_option()]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         """Print the lines in order and what decided."""
         paths = [Path(name) for name in self.argument('files')]
         lines = select_lines(self.argument('request'), read_lines(paths))
--- a/seampond/operators/main.py
+++ b/seampond/operators/main.py
@@ -6,15 +6,15 @@
 from cleo.application import Application
 from cleo.io.inputs.argv_input import ArgvInput
 
-from seampond.operators.explain import ExplainCommand
-from seampond.operators.programs import (
+from seampond.operators.daemon_commands import (
     AgentCommand,
     EngineCommand,
     EntryCommand,
     GatewayCommand,
     PlatformCommand,
 )
-from seampond.operators.rows import (
+from seampond.operators.explain import ExplainCommand
+from seampond.operators.row_commands import (
     TemplateDelete,
     TemplateList,
     TemplateSet,
@@ -24,7 +24,7 @@
     WorkspaceSet,
     WorkspaceShow,
 )
-from seampond.operators.show import CheckCommand, StatusCommand
+from seampond.operators.status_commands import CheckCommand, StatusCommand
 
 _HELP_CALLS: tuple[list[str], ...] = ([], ['--help'], ['-h'])
 COMMANDS = (
--- a/seampond/operators/rows.py
+++ b/seampond/operators/row_commands.py
@@ -16,9 +16,9 @@
     delete_template,
     list_rows,
     parse_fields,
+    read_row,
     set_template,
     set_workspace,
-    show_row,
 )
 from seampond.settings.models import OperatorSettings
 from seampond.templates.configuration import TEMPLATES, WORKSPACES
@@ -30,12 +30,14 @@
     options = [settings_option(), json_option()]
     table_name = ''
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Print a line a row."""
         rows = await list_rows(editor, self.table_name)
         content = [{'version': row.version, **row.content} for row in rows]
         names = '\n'.join(f'{row.key}  (version {row.version})' for row in rows)
-        return self.show(content, names or 'none')
+        return self.print_output(content, names or 'none')
 
 
 class ShowCommand(OperatorCommand):
@@ -45,11 +47,13 @@
     options = [settings_option(), json_option()]
     table_name = ''
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Print the row."""
-        row = await show_row(editor, self.table_name, self.argument('name'))
+        row = await read_row(editor, self.table_name, self.argument('name'))
         content = {'version': row.version, **row.content}
-        return self.show(content, json.dumps(content, indent=2))
+        return self.print_output(content, json.dumps(content, indent=2))
 
 
 class TemplateList(ListCommand):
@@ -79,14 +83,16 @@
     ]
     options = [settings_option(), json_option(), version_option()]
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Commit the edit."""
         fields = parse_fields(self.argument('fields'))
         name = self.argument('name')
         generation = await set_template(
-            editor, name, fields, self.from_version()
+            editor, name, fields, self.parse_from_version()
         )
-        return self.show_generation(generation)
+        return self.print_generation(generation)
 
 
 class TemplateDelete(OperatorCommand):
@@ -97,11 +103,15 @@
     arguments = [argument('name', 'Its name.')]
     options = [settings_option(), json_option(), version_option()]
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Commit the edit."""
         name = self.argument('name')
-        generation = await delete_template(editor, name, self.from_version())
-        return self.show_generation(generation)
+        generation = await delete_template(
+            editor, name, self.parse_from_version()
+        )
+        return self.print_generation(generation)
 
 
 class WorkspaceList(ListCommand):
@@ -132,16 +142,18 @@
     ]
     options = [settings_option(), json_option(), version_option()]
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Commit the edit."""
         generation = await set_workspace(
             editor,
             self.argument('name'),
             self.argument('template'),
             parse_fields(self.argument('fields')),
-            self.from_version(),
+            self.parse_from_version(),
         )
-        return self.show_generation(generation)
+        return self.print_generation(generation)
 
 
 class WorkspaceKey(OperatorCommand):
@@ -156,10 +168,12 @@
         option('revoke', None, 'End all earlier keys of the workspace.'),
     ]
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Commit the edit and print the key."""
         made = await add_key(
             editor, self.argument('name'), revoke=self.option('revoke')
         )
         content = {'key': made.key, 'generation': made.generation}
-        return self.show(content, made.key)
+        return self.print_output(content, made.key)
--- a/seampond/operators/status.py
+++ b/seampond/operators/status.py
@@ -18,14 +18,14 @@
 
     generation: int
     entries: list[dict[str, Any]]
-    silent: list[str]
+    unreachable: list[str]
 
     def as_json(self) -> dict[str, Any]:
         """Give it as JSON."""
         return {
             'generation': self.generation,
             'entries': self.entries,
-            'silent': self.silent,
+            'silent': self.unreachable,
         }
 
 
@@ -57,9 +57,9 @@
         answers = await asyncio.gather(*map(ask, entries))
     generation = await read_generation(editor.tables)
     answered = [answer for answer in answers if answer]
-    silent = [
+    unreachable = [
         vm.name
         for vm, answer in zip(entries, answers, strict=True)
         if not answer
     ]
-    return FleetStatus(generation, answered, silent)
+    return FleetStatus(generation, answered, unreachable)
--- a/seampond/operators/show.py
+++ b/seampond/operators/status_commands.py
@@ -42,7 +42,7 @@
         refused = entry['refusals']
         if refused:
             lines.append(f'  refusals: {refused}')
-    lines.extend(f'{name}: does not answer' for name in status.silent)
+    lines.extend(f'{name}: does not answer' for name in status.unreachable)
     return '\n'.join(lines)
 
 
@@ -53,10 +53,12 @@
     description = 'Shows entries, agents, generations and counters.'
     options = [settings_option(), json_option()]
 
-    async def edit(self, editor: Editor, settings: OperatorSettings) -> int:
+    async def run_with_editor(
+        self, editor: Editor, settings: OperatorSettings
+    ) -> int:
         """Print what the entries say."""
         status = await read_status(editor, settings)
-        return self.show(status.as_json(), format_status(status))
+        return self.print_output(status.as_json(), format_status(status))
 
 
 class CheckCommand(BaseCommand):
@@ -66,7 +68,7 @@
     description = 'Checks a settings file and does nothing else.'
     arguments = [argument('file', 'The settings file.')]
 
-    def work(self) -> int:
+    def run_command(self) -> int:
         """Load the file."""
         path = Path(self.argument('file'))
         settings = load_any(path)
--- a/seampond/slopes/__main__.py
+++ b/seampond/slopes/__main__.py
@@ -8,7 +8,7 @@
 from dataclasses import asdict
 from pathlib import Path
 
-from seampond.slopes.capacity import work_out
+from seampond.slopes.capacity import compute_figures
 from seampond.slopes.links import measure_links, measure_polls
 from seampond.slopes.memory import measure_memory
 from seampond.slopes.processor import (
@@ -33,7 +33,7 @@
     print('\n| role | what | formula | today | target | unit | limit |')
     print('|---|---|---|---:|---:|---|---:|')
     measured = {each.name: each.value for each in slopes}
-    for row in work_out(measured):
+    for row in compute_figures(measured):
         print(_FIGURE_ROW.format(row=row))
 
 
--- a/seampond/slopes/capacity.py
+++ b/seampond/slopes/capacity.py
@@ -8,7 +8,7 @@
 _DAY_SECONDS = 86_400
 _MILLION = 1_000_000
 _PERCENT = 100
-_BEAT_BYTES = 56
+_HEARTBEAT_BYTES = 56
 _POLLS_PER_S = 2
 _UNREPEATABLE_SHARE = 1 / 40
 _READS_PER_EDIT = 3
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Size:
+class DeploymentSize:
     """A size of deployment."""
 
     name: str
@@ -33,24 +33,28 @@
     vm_events_per_day: int
 
     @property
-    def links(self) -> int:
+    def links_per_entry(self) -> int:
         """Links of one entry: 24 for each pool, or all."""
         each = min(24, self.agents // self.pools)
         return each * self.pools
 
     @property
-    def agent_links(self) -> float:
+    def links_per_agent(self) -> float:
         """Links of one agent."""
-        return self.links * self.entries / self.agents
+        return self.links_per_entry * self.entries / self.agents
 
     @property
-    def beat_s(self) -> float:
+    def heartbeat_interval_s(self) -> float:
         """Seconds between two heartbeats on a link."""
-        return max(1, self.links * _BEAT_BYTES / _BUDGET_BYTES_PER_S)
+        return max(
+            1, self.links_per_entry * _HEARTBEAT_BYTES / _BUDGET_BYTES_PER_S
+        )
 
 
-TODAY = Size('today', 3, 14, 2, 30, 4000, 60, 5, 20, 4)
-TARGET = Size('target', 340, 3900, 12, 8000, 2_400_000, 98_600, 2900, 2200, 838)
+TODAY = DeploymentSize('today', 3, 14, 2, 30, 4000, 60, 5, 20, 4)
+TARGET = DeploymentSize(
+    'target', 340, 3900, 12, 8000, 2_400_000, 98_600, 2900, 2200, 838
+)
 
 
 @dataclass(frozen=True)
@@ -70,9 +74,9 @@
 Label = tuple[str, str, str, str]
 
 
-def _entry_rows(size: Size, slopes: Slopes) -> list[float]:
-    beats = size.links / size.beat_s
-    beat_us = slopes['heartbeat, sent and received']
+def _entry_rows(size: DeploymentSize, slopes: Slopes) -> list[float]:
+    heartbeats_per_s = size.links_per_entry / size.heartbeat_interval_s
+    heartbeat_us = slopes['heartbeat, sent and received']
     share = _PERCENT / _MILLION
     requests = size.requests_per_s / size.entries
     tokens = size.tokens_per_s / size.entries
@@ -85,8 +89,8 @@
     )
     memory = (
         slopes['entry: memory after load']
-        + size.links * (slopes['link, both ends'] / 2)
-        + size.links * slopes['peer without its link']
+        + size.links_per_entry * (slopes['link, both ends'] / 2)
+        + size.links_per_entry * slopes['peer without its link']
         + (size.agents + size.entries) * slopes['VM in the list']
         + size.workspaces * slopes['workspace in a configuration']
         + size.workspaces * 4 * slopes['two buckets of a limit']
@@ -96,9 +100,9 @@
         * slopes['waiting request without its body']
     )
     return [
-        beats * beat_us * share,
+        heartbeats_per_s * heartbeat_us * share,
         _POLLS_PER_S * poll_us * share,
-        beats * _BEAT_BYTES / KILOBYTE,
+        heartbeats_per_s * _HEARTBEAT_BYTES / KILOBYTE,
         (
             size.vm_events_per_day * vm_bytes
             + size.changes_per_day * slopes['workspace row as JSON']
@@ -139,15 +143,15 @@
 )
 
 
-def _agent_rows(size: Size, slopes: Slopes) -> list[float]:
-    beats = size.agent_links / size.beat_s
+def _agent_rows(size: DeploymentSize, slopes: Slopes) -> list[float]:
+    heartbeats_per_s = size.links_per_agent / size.heartbeat_interval_s
     share = _PERCENT / _MILLION
     requests = size.requests_per_s / size.agents
     tokens = size.tokens_per_s / size.agents
     kept_runs = requests * 60
     memory = (
         slopes['agent: memory after load']
-        + size.agent_links * slopes['link, both ends'] / 2
+        + size.links_per_agent * slopes['link, both ends'] / 2
         + kept_runs * slopes['waiting request without its body']
         + size.open_streams
         / size.agents
@@ -155,8 +159,8 @@
         * 3
     )
     return [
-        beats * slopes['heartbeat, sent and received'] * share,
-        beats * _BEAT_BYTES / KILOBYTE,
+        heartbeats_per_s * slopes['heartbeat, sent and received'] * share,
+        heartbeats_per_s * _HEARTBEAT_BYTES / KILOBYTE,
         requests * slopes['agent: short streamed request'] * share,
         tokens * slopes['agent: token'] * share,
         memory / MEGABYTE,
@@ -172,7 +176,7 @@
 )
 
 
-def _platform_rows(size: Size, slopes: Slopes) -> list[float]:
+def _platform_rows(size: DeploymentSize, slopes: Slopes) -> list[float]:
     unrepeatable = size.requests_per_s * _UNREPEATABLE_SHARE
     row = slopes['workspace row as JSON']
     return [
@@ -195,7 +199,7 @@
 )
 
 
-def _command_rows(size: Size, slopes: Slopes) -> list[float]:
+def _command_rows(size: DeploymentSize, slopes: Slopes) -> list[float]:
     return [
         size.changes_per_day
         * slopes['command: processor time']
@@ -218,7 +222,7 @@
     return Figure(role, what, formula, today, target, unit, limit)
 
 
-def work_out(slopes: Slopes) -> list[Figure]:
+def compute_figures(slopes: Slopes) -> list[Figure]:
     """Give the rows of the capacity page."""
     rows = []
     for role, labels, work in (
--- a/seampond/slopes/gateway_fleet.py
+++ b/seampond/slopes/gateway_fleet.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Sizes:
+class FleetSize:
     """How large the fleet is."""
 
     gateways: int
@@ -60,7 +60,7 @@
 
 
 def build_heartbeat(
-    sizes: Sizes, name: str, incarnation: int, sequence: int
+    sizes: FleetSize, name: str, incarnation: int, sequence: int
 ) -> Heartbeat:
     """Give what a busy gateway would tell."""
     rng = random.Random(incarnation)
@@ -88,7 +88,7 @@
 
 
 def fill_store(
-    store: StandInStore, sizes: Sizes, server: str, peers: str
+    store: StandInStore, sizes: FleetSize, server: str, peers: str
 ) -> None:
     """Write the rows of the whole fleet."""
     put_configuration(store, ConfigurationRow(other_tenants=sizes.workspaces))
@@ -98,7 +98,7 @@
         store.put(GATEWAYS_TABLE, f'peer-{number}', {'address': peers})
 
 
-async def play_peers(sizes: Sizes, port: int) -> None:
+async def simulate_peers(sizes: FleetSize, port: int) -> None:
     """Tell what all other gateways would, spread over their pace."""
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
@@ -120,7 +120,7 @@
         transport.close()
 
 
-async def play_callers(client: aiosonic.HTTPClient, port: int) -> None:
+async def simulate_callers(client: aiosonic.HTTPClient, port: int) -> None:
     """Ask some times a second."""
     number = 0
     while True:
@@ -154,7 +154,7 @@
 
 
 @asynccontextmanager
-async def run_fleet(sizes: Sizes, folder: Path) -> AsyncIterator[list[str]]:
+async def run_fleet(sizes: FleetSize, folder: Path) -> AsyncIterator[list[str]]:
     """Run all but the gateway; give the words that start it."""
     ports = tuple(islice(free_ports(), _PORTS))
     sink, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -169,8 +169,8 @@
         fill_store(store, sizes, server.address, f'{host}:{port}')
         settings = write_settings(folder, store.address, ports)
         tasks = [
-            group.create_task(play_peers(sizes, ports[3])),
-            group.create_task(play_callers(make_client(4), ports[0])),
+            group.create_task(simulate_peers(sizes, ports[3])),
+            group.create_task(simulate_callers(make_client(4), ports[0])),
         ]
         try:
             yield [str(settings), str(folder / 'profile')]
--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from seampond.gateway.__main__ import main as run_gateway
-from seampond.slopes.gateway_fleet import Sizes, run_fleet
+from seampond.slopes.gateway_fleet import FleetSize, run_fleet
 
 # Linux counts the processor time of processes in hundredths of a second.
 _TICKS_A_S = 100
@@ -43,22 +43,24 @@
 )
 
 
-def read_seconds(pid: int) -> float:
+def read_cpu_seconds(pid: int) -> float:
     """Give the processor time that a process has taken."""
     text = Path(f'/proc/{pid}/stat').read_text(encoding='utf-8')
     used, system = text.rpartition(')')[2].split()[11:13]
     return (int(used) + int(system)) / _TICKS_A_S
 
 
-async def measure_share(pid: int) -> float:
+async def measure_cpu_share(pid: int) -> float:
     """Give the share of a core that a process takes, once it is warm."""
     await asyncio.sleep(_WARM_S)
-    before = read_seconds(pid)
+    before = read_cpu_seconds(pid)
     await asyncio.sleep(_SPAN_S)
-    return (read_seconds(pid) - before) / _SPAN_S
+    return (read_cpu_seconds(pid) - before) / _SPAN_S
 
 
-async def play(sizes: Sizes, *, is_profiled: bool) -> tuple[float, str]:
+async def measure_fleet(
+    sizes: FleetSize, *, is_profiled: bool
+) -> tuple[float, str]:
     """Play one fleet; give the share of a core, and the profile's file."""
     folder = Path(tempfile.mkdtemp())
     async with run_fleet(sizes, folder) as words:
@@ -69,14 +71,14 @@
             stdout=subprocess.DEVNULL,
         )
         try:
-            share = await measure_share(child.pid)
+            share = await measure_cpu_share(child.pid)
         finally:
             child.send_signal(signal.SIGTERM)
             await asyncio.to_thread(child.wait)
     return share, str(folder / 'profile')
 
 
-def run_child(words: list[str]) -> int:
+def run_gateway_child(words: list[str]) -> int:
     """Run the gateway, under the profiler if a file is named for it."""
     if len(words) == 1:
         return run_gateway(words)
@@ -89,7 +91,7 @@
         profile.dump_stats(words[1])
 
 
-def sum_up(table: dict[Any, Any], wanted: str) -> tuple[int, float]:
+def sum_matching(table: dict[Any, Any], wanted: str) -> tuple[int, float]:
     """Give calls and seconds of the functions that a text names."""
     module, _, function = wanted.rpartition(':')
     calls, seconds = 0, 0
@@ -100,12 +102,12 @@
     return calls, seconds
 
 
-def split(path: str) -> list[str]:
+def format_profile(path: str) -> list[str]:
     """Give a line for each group of functions: calls, seconds."""
     table = pstats.Stats(path).stats  # type: ignore[attr-defined]
     lines = []
     for title, wanted in _GROUPS:
-        calls, seconds = sum_up(table, wanted)
+        calls, seconds = sum_matching(table, wanted)
         lines.append(f'  {title:<24}{calls:>8} calls {seconds:>8.3f} s')
     return lines
 
@@ -118,18 +120,18 @@
     parser.add_argument('--gateway', nargs='+', help=argparse.SUPPRESS)
     options = parser.parse_args()
     if options.gateway:
-        sys.exit(run_child(options.gateway))
+        sys.exit(run_gateway_child(options.gateway))
     for told in options.gateways.split(','):
         count = int(told)
-        sizes = Sizes(
+        sizes = FleetSize(
             count, round(count * _SERVERS_A_GATEWAY), options.workspaces
         )
-        share, _ = asyncio.run(play(sizes, is_profiled=False))
+        share, _ = asyncio.run(measure_fleet(sizes, is_profiled=False))
         print(
             f'{count} gateways, {sizes.servers} servers: {share:.3f} of a core'
         )
-        _, path = asyncio.run(play(sizes, is_profiled=True))
-        print('\n'.join(split(path)))
+        _, path = asyncio.run(measure_fleet(sizes, is_profiled=True))
+        print('\n'.join(format_profile(path)))
 
 
 if __name__ == '__main__':
--- a/seampond/slopes/links.py
+++ b/seampond/slopes/links.py
@@ -26,7 +26,7 @@
 _VMS = 4240
 
 
-def resident_bytes() -> int:
+def peak_resident_bytes() -> int:
     """Give the largest resident size of this process so far."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _KIB
 
@@ -42,15 +42,15 @@
 
     server = await asyncio.start_server(accept, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
-    before = resident_bytes()
+    before = peak_resident_bytes()
     dialed = []
     for _ in range(_LINKS):
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         dialed.append(Connection(reader, writer, Clock()))
     while len(ends) < _LINKS:
         await asyncio.sleep(0)
-    grown = resident_bytes() - before
-    cost = await _beat(dialed, ends)
+    grown = peak_resident_bytes() - before
+    cost = await _exchange_heartbeats(dialed, ends)
     for link in (*dialed, *ends):
         await link.close()
     server.close()
@@ -76,10 +76,10 @@
                 await read_changes(tables, Configuration(1))
             spent = time.process_time() - started
     poll = Slope('configuration poll', spent / _POLLS * MICROSECONDS, 'us')
-    return [poll, _weigh_list()]
+    return [poll, _measure_vm_row()]
 
 
-def _weigh_list() -> Slope:
+def _measure_vm_row() -> Slope:
     rng = random.Random(1)
     rows = [
         VmRow(
@@ -95,7 +95,9 @@
     return Slope('VM row, compressed', len(packed) / _VMS, 'bytes')
 
 
-async def _beat(dialed: list[Connection], ends: list[Connection]) -> float:
+async def _exchange_heartbeats(
+    dialed: list[Connection], ends: list[Connection]
+) -> float:
     started = time.process_time()
     for _ in range(_BEATS):
         for link in dialed:
--- a/seampond/slopes/memory.py
+++ b/seampond/slopes/memory.py
@@ -24,7 +24,9 @@
 _BYTES = 'bytes'
 
 
-def bytes_each(build: Callable[[int], Any], count: int = _COUNT) -> float:
+def measure_bytes_each(
+    build: Callable[[int], Any], count: int = _COUNT
+) -> float:
     """Give the bytes held by each of `count` built things."""
     build(0)
     gc.collect()
@@ -51,7 +53,7 @@
 
 def _measure_workspace() -> list[Slope]:
     count = 2000
-    held = bytes_each(lambda _: build_configuration(count), 1) / count
+    held = measure_bytes_each(lambda _: build_configuration(count), 1) / count
     workspace = build_configuration(1).workspaces['workspace-0']
     row = json.dumps(workspace.model_dump(mode='json'))
     return [
@@ -69,26 +71,26 @@
             f'workspace-{number}', 'draft', parameters, tokens=1, entries=1
         )
 
-    return bytes_each(build)
+    return measure_bytes_each(build)
 
 
 def measure_memory() -> list[Slope]:
     """Measure what grows with members, requests, streams and workspaces."""
     return [
-        Slope('VM in the list', bytes_each(_build_vm), _BYTES),
+        Slope('VM in the list', measure_bytes_each(_build_vm), _BYTES),
         Slope(
             'peer without its link',
-            bytes_each(lambda number: Peer(_build_vm(number))),
+            measure_bytes_each(lambda number: Peer(_build_vm(number))),
             _BYTES,
         ),
         Slope(
             'waiting request without its body',
-            bytes_each(lambda number: build_ticket(f'{number:032}')),
+            measure_bytes_each(lambda number: build_ticket(f'{number:032}')),
             _BYTES,
         ),
         Slope(
             'run of 100 frames kept by the agent',
-            bytes_each(_build_run),
+            measure_bytes_each(_build_run),
             _BYTES,
         ),
         Slope('two buckets of a limit', _measure_bucket(), _BYTES),
--- a/seampond/slopes/processor.py
+++ b/seampond/slopes/processor.py
@@ -34,7 +34,7 @@
     unit: str
 
 
-def time_call(call: Callable[[], Any], count: int) -> float:
+def time_call_us(call: Callable[[], Any], count: int) -> float:
     """Give the processor time of one call in microseconds, best of five."""
     best = float('inf')
     for _ in range(_ROUNDS):
@@ -86,8 +86,8 @@
 def _measure_batch(name: str, batch: Sequence[Message]) -> list[Slope]:
     packet = encode(batch)
     count = _CALLS // len(batch)
-    encoding = time_call(lambda: encode(batch), count)
-    decoding = time_call(lambda: decode(packet), count)
+    encoding = time_call_us(lambda: encode(batch), count)
+    decoding = time_call_us(lambda: decode(packet), count)
     return [
         Slope(f'{name}: encode', encoding, 'us'),
         Slope(f'{name}: decode', decoding, 'us'),
@@ -100,5 +100,5 @@
     configuration = build_configuration(_TARGET_WORKSPACES)
     row = configuration.workspaces['workspace-7'].model_dump(mode='json')
     change = Change(2, 'workspaces', 'workspace-7', row, 'author', 'token')
-    cost = time_call(lambda: apply_changes(configuration, [change]), 200)
+    cost = time_call_us(lambda: apply_changes(configuration, [change]), 200)
     return [Slope('configuration change at 2,900 workspaces', cost, 'us')]
--- a/seampond/slopes/roles.py
+++ b/seampond/slopes/roles.py
@@ -28,14 +28,14 @@
 
 
 @dataclass(frozen=True)
-class Use:
+class ResourceUsage:
     """Processor seconds and resident bytes, summed over a role."""
 
     seconds: float
     largest_bytes: float
 
 
-def _page(processes: Processes, name: str) -> str:
+def _fetch_metrics(processes: Processes, name: str) -> str:
     settings_address = processes.address(name)
     if name.startswith('agent'):
         settings_address = processes.status_address(name)
@@ -44,19 +44,19 @@
     return text
 
 
-def _number(pattern: 're.Pattern[str]', text: str) -> float:
+def _parse_metric(pattern: 're.Pattern[str]', text: str) -> float:
     match = pattern.search(text)
     if match is None:
         raise ValueError('the page lacks a process metric')
     return float(match.group(1))
 
 
-def read_use(processes: Processes, names: tuple[str, ...]) -> Use:
+def read_usage(processes: Processes, names: tuple[str, ...]) -> ResourceUsage:
     """Read the processes' own metrics."""
-    pages = [_page(processes, name) for name in names]
-    return Use(
-        sum(_number(_CPU, page) for page in pages),
-        max(_number(_RSS, page) for page in pages),
+    pages = [_fetch_metrics(processes, name) for name in names]
+    return ResourceUsage(
+        sum(_parse_metric(_CPU, page) for page in pages),
+        max(_parse_metric(_RSS, page) for page in pages),
     )
 
 
@@ -70,19 +70,19 @@
     await asyncio.gather(*(one() for _ in range(count)))
 
 
-async def _cost(
+async def _measure_unit_cost(
     processes: Processes, load: Callable[[], Awaitable[None]], count: int
 ) -> tuple[float, float]:
     """Give microseconds for each unit of load, at entries and at agents."""
-    entries = read_use(processes, _ENTRIES).seconds
-    agents = read_use(processes, _AGENTS).seconds
+    entries = read_usage(processes, _ENTRIES).seconds
+    agents = read_usage(processes, _AGENTS).seconds
     await load()
-    entry = read_use(processes, _ENTRIES).seconds - entries
-    agent = read_use(processes, _AGENTS).seconds - agents
+    entry = read_usage(processes, _ENTRIES).seconds - entries
+    agent = read_usage(processes, _AGENTS).seconds - agents
     return entry / count * MICROSECONDS, agent / count * MICROSECONDS
 
 
-def _prepare(folder: Path) -> None:
+def _raise_rates(folder: Path) -> None:
     for path in folder.glob('engine-*.toml'):
         text = path.read_text()
         text = re.sub(
@@ -105,10 +105,10 @@
         few = Chat('trainer-answer', max_tokens=_FEW_TOKENS)
         many = Chat('trainer-answer', max_tokens=_MANY_TOKENS)
         await _send(caller, few, _STREAMS)
-        request = await _cost(
+        request = await _measure_unit_cost(
             processes, lambda: _send(caller, few, _REQUESTS), _REQUESTS
         )
-        stream = await _cost(
+        stream = await _measure_unit_cost(
             processes, lambda: _send(caller, many, _STREAMS), _STREAMS
         )
     frames = _MANY_TOKENS - _FEW_TOKENS
@@ -131,18 +131,18 @@
 def _measure_idle(
     processes: Processes, role: str, names: tuple[str, ...]
 ) -> Slope:
-    before = read_use(processes, names).seconds
+    before = read_usage(processes, names).seconds
     started = time.monotonic()
     time.sleep(_IDLE_SECONDS)
     elapsed = time.monotonic() - started
-    spent = read_use(processes, names).seconds - before
+    spent = read_usage(processes, names).seconds - before
     share = spent / len(names) / elapsed * _PERCENT
     return Slope(f'{role}: idle', share, '% of a core')
 
 
 def measure_roles(folder: Path) -> list[Slope]:
     """Run the example as processes; measure idle, requests and tokens."""
-    with run_processes(folder, 'fitlink-kochi', _prepare) as processes:
+    with run_processes(folder, 'fitlink-kochi', _raise_rates) as processes:
         command = _measure_command(processes)
         key = processes.run_command('workspace', 'key', 'trainers')['key']
         idle = [
@@ -150,8 +150,8 @@
             _measure_idle(processes, 'agent', _AGENTS),
         ]
         loaded = asyncio.run(_measure(processes, key))
-        entries = read_use(processes, _ENTRIES)
-        agents = read_use(processes, _AGENTS)
+        entries = read_usage(processes, _ENTRIES)
+        agents = read_usage(processes, _AGENTS)
     return [
         command,
         *idle,
--- a/seampond/soak/__main__.py
+++ b/seampond/soak/__main__.py
@@ -11,10 +11,14 @@
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.demo.__main__ import EXAMPLES
 from seampond.demo.fleet import copy_with_free_ports, run_fleet
-from seampond.demo.verify import find_wrong
+from seampond.demo.verify import find_violations
 from seampond.logs import set_up_logs
-from seampond.soak.drive import Drive, SoakReport, drive
-from seampond.soak.faults import FAULTS, Fault, Scene, inject
+from seampond.soak.faults import FAULTS, Fault, FaultContext, inject_faults
+from seampond.soak.load_generator import (
+    LoadGenerator,
+    SoakReport,
+    generate_load,
+)
 
 _CONNECTIONS = 256
 _SECONDS_PER_MINUTE = 60
@@ -39,7 +43,7 @@
     Returns
     -------
     SoakReport
-        What was seen; `wrong` is empty if every promise held.
+        What was seen; `violations` is empty if every promise held.
 
     """
     clock = Clock()
@@ -49,12 +53,17 @@
         open_client(_CONNECTIONS) as client,
     ):
         until_ms = clock.now() + round(seconds * MS_PER_SECOND)
-        scene = Scene(fleet, random.Random(seed), clock, faults)
-        plan = Drive(fleet, client, random.Random(seed + 1), clock, report)
+        context = FaultContext(fleet, random.Random(seed), clock, faults)
+        plan = LoadGenerator(
+            fleet, client, random.Random(seed + 1), clock, report
+        )
         await asyncio.gather(
-            inject(scene, until_ms, report.faults), drive(plan, until_ms)
+            inject_faults(context, until_ms, report.faults),
+            generate_load(plan, until_ms),
+        )
+        report.violations = find_violations(
+            fleet, report.violations, report.not_run
         )
-        report.wrong = find_wrong(fleet, report.wrong, report.not_run)
     return report
 
 
@@ -65,7 +74,7 @@
         print(f'  fault {name}: {count}')
     for outcome, count in report.outcomes.most_common():
         print(f'  outcome {outcome}: {count}')
-    for line in report.wrong:
+    for line in report.violations:
         print(f'  WRONG {line}')
 
 
@@ -91,7 +100,7 @@
         faults = tuple(FAULTS[name] for name in options.faults)
         report = asyncio.run(soak(folder, options.seed, seconds, faults))
     print_report(report, options.seed)
-    return int(bool(report.wrong))
+    return int(bool(report.violations))
 
 
 if __name__ == '__main__':
--- a/seampond/soak/faults.py
+++ b/seampond/soak/faults.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Scene:
+class FaultContext:
     """What faults act upon."""
 
     fleet: Fleet
@@ -36,7 +36,7 @@
         return self.rng.choice(models)
 
 
-Fault = Callable[[Scene], AbstractAsyncContextManager[None]]
+Fault = Callable[[FaultContext], AbstractAsyncContextManager[None]]
 
 
 @asynccontextmanager
@@ -53,8 +53,10 @@
 
 
 @asynccontextmanager
-async def _platform_fault(scene: Scene, faults: Faults) -> AsyncIterator[None]:
-    platform = scene.fleet.platform.platform
+async def _platform_fault(
+    context: FaultContext, faults: Faults
+) -> AsyncIterator[None]:
+    platform = context.fleet.platform.platform
     before = platform.faults
     platform.faults = faults
     try:
@@ -63,65 +65,67 @@
         platform.faults = before
 
 
-def slow_engine(scene: Scene) -> AbstractAsyncContextManager[None]:
+def slow_engine(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """An engine runs at a tenth of its speed."""
-    return _engine_fault(scene.model_engine, EngineFaults(slowdown=_SLOWDOWN))
+    return _engine_fault(context.model_engine, EngineFaults(slowdown=_SLOWDOWN))
 
 
-def short_answers(scene: Scene) -> AbstractAsyncContextManager[None]:
+def short_answers(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """Some answers of an engine end short."""
-    return _engine_fault(scene.model_engine, EngineFaults(short=_SOME_ANSWERS))
+    return _engine_fault(
+        context.model_engine, EngineFaults(short=_SOME_ANSWERS)
+    )
 
 
-def crossed_answers(scene: Scene) -> AbstractAsyncContextManager[None]:
+def crossed_answers(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """Some answers of an engine are for another request."""
     faults = EngineFaults(crossed=_SOME_ANSWERS)
-    return _engine_fault(scene.model_engine, faults)
+    return _engine_fault(context.model_engine, faults)
 
 
-def failing_engine(scene: Scene) -> AbstractAsyncContextManager[None]:
+def failing_engine(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """Some requests to an engine fail."""
     faults = EngineFaults(failing=_SOME_ANSWERS)
-    return _engine_fault(scene.model_engine, faults)
+    return _engine_fault(context.model_engine, faults)
 
 
-def platform_down(scene: Scene) -> AbstractAsyncContextManager[None]:
+def platform_down(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """The platform's services do not answer."""
-    return _platform_fault(scene, Faults(down=True))
+    return _platform_fault(context, Faults(down=True))
 
 
-def platform_slow(scene: Scene) -> AbstractAsyncContextManager[None]:
+def platform_slow(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """The platform's services are slow."""
-    return _platform_fault(scene, Faults(slow_ms=_SLOW_MS))
+    return _platform_fault(context, Faults(slow_ms=_SLOW_MS))
 
 
-def lost_answers(scene: Scene) -> AbstractAsyncContextManager[None]:
+def lost_answers(context: FaultContext) -> AbstractAsyncContextManager[None]:
     """Some writes take effect and nobody hears."""
-    return _platform_fault(scene, Faults(lose_answers=_SOME_ANSWERS))
+    return _platform_fault(context, Faults(lose_answers=_SOME_ANSWERS))
 
 
 @asynccontextmanager
-async def cut_links(scene: Scene) -> AsyncIterator[None]:
+async def cut_links(context: FaultContext) -> AsyncIterator[None]:
     """All links of one agent are cut at this moment."""
-    running = scene.rng.choice(scene.fleet.agents)
+    running = context.rng.choice(context.fleet.agents)
     for entry in list(running.agent.entries):
         entry.link.abort()
     yield
 
 
 @asynccontextmanager
-async def replaced_agent(scene: Scene) -> AsyncIterator[None]:
+async def replaced_agent(context: FaultContext) -> AsyncIterator[None]:
     """An agent ends without a planned stop; a new one takes its address."""
-    index = scene.rng.randrange(len(scene.fleet.agents))
-    await scene.fleet.replace_agent(index, planned=False)
+    index = context.rng.randrange(len(context.fleet.agents))
+    await context.fleet.replace_agent(index, planned=False)
     yield
 
 
 @asynccontextmanager
-async def rolled_agent(scene: Scene) -> AsyncIterator[None]:
+async def rolled_agent(context: FaultContext) -> AsyncIterator[None]:
     """An agent makes a planned stop; a new one takes its address."""
-    index = scene.rng.randrange(len(scene.fleet.agents))
-    await scene.fleet.replace_agent(index, planned=True)
+    index = context.rng.randrange(len(context.fleet.agents))
+    await context.fleet.replace_agent(index, planned=True)
     yield
 
 
@@ -142,23 +146,27 @@
 FAULTS = MappingProxyType({fault.__name__: fault for fault in ALL_FAULTS})
 
 
-async def inject(scene: Scene, until_ms: int, counts: dict[str, int]) -> None:
+async def inject_faults(
+    context: FaultContext, until_ms: int, counts: dict[str, int]
+) -> None:
     """Inject faults, one or two at a time, until `until_ms`."""
-    while scene.clock.now() < until_ms:
-        most = min(2, len(scene.faults))
-        chosen = scene.rng.sample(scene.faults, scene.rng.randint(1, most))
-        await _hold(scene, chosen, counts)
-        await scene.clock.sleep(scene.rng.uniform(100, 600))
+    while context.clock.now() < until_ms:
+        most = min(2, len(context.faults))
+        chosen = context.rng.sample(
+            context.faults, context.rng.randint(1, most)
+        )
+        await _apply_nested(context, chosen, counts)
+        await context.clock.sleep(context.rng.uniform(100, 600))
 
 
-async def _hold(
-    scene: Scene, chosen: list[Fault], counts: dict[str, int]
+async def _apply_nested(
+    context: FaultContext, chosen: list[Fault], counts: dict[str, int]
 ) -> None:
     fault, *others = chosen
     name = fault.__name__
     counts[name] = counts.get(name, 0) + 1
-    async with fault(scene):
+    async with fault(context):
         if others:
-            await _hold(scene, others, counts)
+            await _apply_nested(context, others, counts)
         else:
-            await scene.clock.sleep(scene.rng.uniform(200, 1500))
+            await context.clock.sleep(context.rng.uniform(200, 1500))
--- a/seampond/soak/drive.py
+++ b/seampond/soak/load_generator.py
@@ -32,11 +32,11 @@
     outcomes: 'Counter[str]' = field(default_factory=Counter)
     faults: dict[str, int] = field(default_factory=dict)
     not_run: list[str] = field(default_factory=list)
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
-class Drive:
+class LoadGenerator:
     """What driving needs."""
 
     fleet: Fleet
@@ -92,10 +92,10 @@
             elif json.loads(reply.body)['request_id'] != reply.owner:
                 raise WrongAnswerError("another request's answer")
         except WrongAnswerError as error:
-            self.report.wrong.append(f'call {call.number}: {error}')
+            self.report.violations.append(f'call {call.number}: {error}')
 
 
-async def drive(plan: Drive, until_ms: int) -> None:
+async def generate_load(plan: LoadGenerator, until_ms: int) -> None:
     """Send calls in open loop, up to a bound at once, until `until_ms`."""
     running: set[asyncio.Task[None]] = set()
     calls = make_calls(plan.fleet, 1_000_000, plan.rng.randrange(2**30))
--- a/seampond/soak/tests/test_soak.py
+++ b/seampond/soak/tests/test_soak.py
@@ -6,8 +6,8 @@
 
 from seampond.demo.fleet import copy_with_free_ports
 from seampond.soak.__main__ import soak
-from seampond.soak.drive import SoakReport
 from seampond.soak.faults import ALL_FAULTS, Fault, cut_links, rolled_agent
+from seampond.soak.load_generator import SoakReport
 from seampond.testing.processes import EXAMPLES
 
 SEED = 7
@@ -23,12 +23,12 @@
 
     async def test_all_faults_break_no_promise(self) -> None:
         report = await self.run_soak(*ALL_FAULTS)
-        self.assertEqual(report.wrong, [])
+        self.assertEqual(report.violations, [])
         self.assertGreater(report.outcomes['whole'], 0)
 
     async def test_planned_stops_and_cut_links_cut_no_answer(self) -> None:
         report = await self.run_soak(rolled_agent, cut_links)
-        self.assertEqual(report.wrong, [])
+        self.assertEqual(report.violations, [])
         self.assertEqual(report.outcomes['broken'], 0)
         doubtful = [name for name in report.outcomes if 'maybe' in name]
         self.assertEqual(doubtful, [])
