--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -1,4 +1,4 @@
-"""Servers that end under a request, and callers that bring it again."""
+"""Servers that crash on some requests, and their callers."""
 
 import asyncio
 import itertools
@@ -30,22 +30,26 @@
 from seampond.testing.store import StandInStore
 
 CRASHING_BODY = b'ends its server'
-_CRASH_MS = 60
+_CRASH_DELAY_MS = 60
 EVENT = b'id: 1\ndata: x\n\n'
 LAST_CHUNK = b'0\r\n\r\n'
-_DOWN_MS = 1000
-_CLIENTS = 300
-_ENDS = (asyncio.IncompleteReadError, asyncio.CancelledError, OSError)
+_DOWNTIME_MS = 1000
+_CLIENT_CONNECTIONS = 300
+_DISCONNECT_ERRORS = (
+    asyncio.IncompleteReadError,
+    asyncio.CancelledError,
+    OSError,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A request that reached a server, and when.
+    """A request that a server received.
 
     Parameters
     ----------
     incarnation : int
-        When the server had started, by the time of day.
+        Start time of the server, in milliseconds since the epoch.
 
     """
 
@@ -58,22 +62,25 @@
 
 @dataclass
 class CrashingServer:
-    """One server; it ends under some bodies and is back after a while.
+    """A server that crashes on some request bodies and restarts.
 
     Parameters
     ----------
     id : str
-        Its id, the same in each life.
+        Server id, kept across restarts.
     crashes_on : Callable[[bytes], bool]
-        Tells of a body whether the server ends under it.
+        Whether a request body crashes the server.
     resets_connections : bool
-        Whether it resets every request that it has run, and lives on.
-    crash_times_ms, caused_crash_times_ms : list[int]
-        When it has ended, and when under a body that ends it.
+        Whether it runs each request, then resets the connection.
+    crash_times_ms : list[int]
+        Times of all crashes.
+    caused_crash_times_ms : list[int]
+        Times of the crashes caused by a request body.
     is_stream : bool
-        Whether it answers with events, the first of them at once.
+        Whether it answers with an event stream whose first event is sent
+        at once.
     service_ms : int
-        How long a sound request runs.
+        Service time of a request that does not crash the server.
 
     """
 
@@ -92,16 +99,16 @@
     started_ms: int = 0
     _address: str = ''
     _listening: asyncio.Server | None = None
-    _open: set[asyncio.StreamWriter] = field(default_factory=set)
+    _writers: set[asyncio.StreamWriter] = field(default_factory=set)
     _tasks: set['asyncio.Task[None]'] = field(default_factory=set)
 
     @property
     def is_up(self) -> bool:
-        """Whether it lives just now."""
+        """Whether the server is running."""
         return self._listening is not None
 
     async def start(self) -> None:
-        """Listen, at the same address in each life, and say so."""
+        """Listen on the address of the first start and write the row."""
         port = int(self._address.rpartition(':')[2] or 0)
         self._listening = await asyncio.start_server(
             self._serve, '127.0.0.1', port, reuse_address=True
@@ -112,24 +119,24 @@
         self.put_row()
 
     def put_row(self, **changes: Any) -> None:
-        """Write its row, as it does itself."""
+        """Write the server's row to the store."""
         content = {'born': self.started_ms} | self.row | changes
         put_server(self.store, self.id, self._address, **content)
 
     def crash(self) -> None:
-        """End as a process that is killed, and come back later."""
+        """Abort all connections and restart later, as after a kill."""
         if self._listening is None:
             return
         self.crash_times_ms.append(self.clock.now())
         self._listening.close()
         self._listening = None
-        for writer in list(self._open):
+        for writer in list(self._writers):
             writer.transport.abort()
         if self.may_restart:
-            self._spawn(self._come_back())
+            self._spawn(self._restart())
 
     async def stop(self) -> None:
-        """End for good."""
+        """Stop without a restart."""
         self.may_restart = False
         self.crash()
         await cancel_all(list(self._tasks))
@@ -139,8 +146,8 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _come_back(self) -> None:
-        await self.clock.sleep(_DOWN_MS)
+    async def _restart(self) -> None:
+        await self.clock.sleep(_DOWNTIME_MS)
         await self.start()
 
     async def _serve(
@@ -149,12 +156,12 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        self._open.add(writer)
-        with suppress(*_ENDS):
+        self._writers.add(writer)
+        with suppress(*_DISCONNECT_ERRORS):
             while True:
                 await self._answer(await read_request(reader), writer)
         self._tasks.discard(task)
-        self._open.discard(writer)
+        self._writers.discard(writer)
         writer.close()
 
     def _record_delivery(self, request: ReceivedRequest) -> Delivery:
@@ -176,7 +183,7 @@
         if self.is_stream:
             writer.write(format_chunked_response(headers, EVENT))
         if self.crashes_on(request.body):
-            await self.clock.sleep(_CRASH_MS)
+            await self.clock.sleep(_CRASH_DELAY_MS)
             if self._listening is not None:
                 self.caused_crash_times_ms.append(self.clock.now())
             self.crash()
@@ -193,16 +200,18 @@
 
 @dataclass
 class CallerRequest:
-    """A request of a caller: when it was sent and how it ended, 0 for a cut.
+    """A caller's request and its outcome.
 
     Parameters
     ----------
     gateway : str
-        Where the caller sent it.
+        Address of the gateway.
+    status : int
+        Status of the response, 0 if it was not received whole.
     head_ms : int
-        When the head of its answer had come.
+        When the response head was received.
     headers : Mapping[str, str]
-        Of the answer, names in lower case.
+        Response headers, with lower-case names.
 
     """
 
@@ -218,7 +227,7 @@
 
 @dataclass
 class CrashingFleet:
-    """Servers, callers, and what both have seen."""
+    """Servers that may crash, and records of requests on both sides."""
 
     store: StandInStore
     clock: Clock
@@ -228,39 +237,41 @@
     crashes_on: Callable[[bytes], bool] = CRASHING_BODY.__eq__
     timeout_ms: int = 1500
     _client: aiosonic.HTTPClient = field(
-        default_factory=lambda: make_client(_CLIENTS, reuses=False)
+        default_factory=lambda: make_client(_CLIENT_CONNECTIONS, reuses=False)
     )
     _ids: Any = field(default_factory=itertools.count)
 
     @property
     def crash_times_ms(self) -> list[int]:
-        """When servers have ended, the first first."""
-        ends = (server.crash_times_ms for server in self.servers)
-        return sorted(itertools.chain.from_iterable(ends))
+        """Sorted times of the crashes of all servers."""
+        crash_lists = (server.crash_times_ms for server in self.servers)
+        return sorted(itertools.chain.from_iterable(crash_lists))
 
     def count_late_sends(self, after_ms: int) -> int:
-        """Count the sends of deadly bodies so long after the third end."""
+        """Count crashing requests delivered too long after the third crash."""
         caused = (server.caused_crash_times_ms for server in self.servers)
-        ends = sorted(itertools.chain.from_iterable(caused))
-        if len(ends) < 3:
+        times_ms = sorted(itertools.chain.from_iterable(caused))
+        if len(times_ms) < 3:
             return 0
-        since_ms = ends[2] + after_ms
+        since_ms = times_ms[2] + after_ms
         return sum(
-            one.at_ms > since_ms and self.crashes_on(one.body)
-            for one in self.deliveries
+            delivery.at_ms > since_ms and self.crashes_on(delivery.body)
+            for delivery in self.deliveries
         )
 
     def served_share(self, since_ms: int) -> float:
-        """Give the part of the sound requests that got their answer."""
-        sound = [
-            one
-            for one in self.caller_requests
-            if one.at_ms >= since_ms and not self.crashes_on(one.body)
+        """Return the share of non-crashing requests that were answered."""
+        harmless = [
+            request
+            for request in self.caller_requests
+            if request.at_ms >= since_ms and not self.crashes_on(request.body)
         ]
-        return sum(one.status == 200 for one in sound) / len(sound)
+        return sum(request.status == 200 for request in harmless) / len(
+            harmless
+        )
 
     async def send_request(self, address: str, body: bytes) -> int:
-        """Send a request as a caller; give the status, 0 if it was cut."""
+        """Send a request; return the status, 0 if the response was cut."""
         request_id = f'r{next(self._ids)}'
         request = CallerRequest(self.clock.now(), body, address, request_id)
         self.caller_requests.append(request)
@@ -290,10 +301,10 @@
         self,
         addresses: Sequence[str],
         make_body: Callable[[int], bytes],
-        every_ms: int,
+        interval_ms: int,
         for_ms: int,
     ) -> None:
-        """Bring a request each so often, at the gateways in turn."""
+        """Send requests at a fixed interval to the gateways in turn."""
         until_ms = self.clock.now() + for_ms
         async with asyncio.TaskGroup() as group:
             for number in itertools.count():
@@ -301,14 +312,14 @@
                     return
                 address = addresses[number % len(addresses)]
                 group.create_task(self.send_request(address, make_body(number)))
-                await self.clock.sleep(every_ms)
+                await self.clock.sleep(interval_ms)
 
 
 @asynccontextmanager
 async def run_crashing_fleet(
     store: StandInStore, count: int, **row: Any
 ) -> AsyncIterator[CrashingFleet]:
-    """Run servers that end under `CRASHING_BODY` until the end."""
+    """Run a fleet of servers that crash on `CRASHING_BODY`."""
     clock = Clock()
     fleet = CrashingFleet(store, clock)
 
@@ -332,7 +343,7 @@
 
 @asynccontextmanager
 async def run_servers(servers: Sequence[CrashingServer]) -> AsyncIterator[None]:
-    """Run servers until the end of the `with`."""
+    """Run servers; stop them at the end."""
     for server in servers:
         await server.start()
     try:
--- a/seampond/testing/fleets.py
+++ b/seampond/testing/fleets.py
@@ -1,4 +1,4 @@
-"""A small deployment in one process, for tests over real HTTP."""
+"""An example deployment in one process, for tests over HTTP."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -10,15 +10,15 @@
 from seampond.testing.processes import EXAMPLES, PrepareFolder
 
 
-def change_nothing(_folder: Path) -> None:
-    """Leave the settings as they are."""
+def keep_settings(_folder: Path) -> None:
+    """Leave the settings unchanged."""
 
 
 @asynccontextmanager
 async def open_fleet(
-    prepare: PrepareFolder = change_nothing,
+    prepare: PrepareFolder = keep_settings,
 ) -> AsyncIterator[Fleet]:
-    """Run the FitLink example in this process, on free ports."""
+    """Run the FitLink example in this process on free ports."""
     with TemporaryDirectory() as scratch:
         folder = Path(scratch)
         copy_with_free_ports(EXAMPLES / 'fitlink-kochi', folder)
--- a/seampond/testing/gateway_processes.py
+++ b/seampond/testing/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, of this build or of an earlier one."""
+"""Gateways in processes of their own, from this or an earlier build."""
 
 import asyncio
 import io
@@ -20,8 +20,8 @@
 from seampond.testing.store import StandInStore
 
 GATEWAY_COUNT = 3
-_PORTS = 4
-_READY_S = 30
+_PORTS_PER_GATEWAY = 4
+_READY_TIMEOUT_S = 30
 _SETTINGS = """[gateway]
 name = "{name}"
 zone = "a"
@@ -41,12 +41,12 @@
 
 @dataclass
 class GatewayProcess:
-    """One gateway, started again whenever it has ended.
+    """A gateway process that can be restarted.
 
     Parameters
     ----------
     build : Path or None
-        Where the program lies that it runs, None for this one.
+        Folder of the build that it runs, None for this one.
 
     """
 
@@ -57,8 +57,8 @@
     process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start it; its log goes on where the earlier one ended."""
-        # Who else waits for the end of the one before starts no second one.
+        """Start the process; its log is appended to."""
+        # Other waiters for the end of the old process must not restart it.
         self.process = None
         environment = dict(os.environ)
         if self.build is not None:
@@ -76,12 +76,12 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal, if it is there."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.returncode is None:
             os.kill(self.process.pid, number)
 
     async def wait(self) -> None:
-        """Wait until it has ended."""
+        """Wait for the process to end."""
         if self.process is not None:
             await self.process.wait()
 
@@ -89,8 +89,8 @@
 async def wait_ready(
     gateways: Sequence[GatewayProcess], client: aiosonic.HTTPClient
 ) -> None:
-    """Wait until all of them say that they are ready."""
-    async with asyncio.timeout(_READY_S):
+    """Wait until all gateways report that they are ready."""
+    async with asyncio.timeout(_READY_TIMEOUT_S):
         for gateway in gateways:
             url = f'http://{gateway.ports[1]}{READY_PATH}'
             while not await _is_ready(client, url):
@@ -100,7 +100,7 @@
 async def _is_ready(client: aiosonic.HTTPClient, url: str) -> bool:
     try:
         response = await client.get(url)
-    except Exception:  # noqa: BLE001 - it is not up yet, however that shows.
+    except Exception:  # noqa: BLE001 - any failure means not ready.
         return False
     return response.status_code == 200
 
@@ -109,18 +109,22 @@
 async def run_gateways(
     folder: Path, store: StandInStore, build: Path | None = None
 ) -> AsyncIterator[list[GatewayProcess]]:
-    """Run gateways until the end of the `with`."""
+    """Run gateways; kill them at the end."""
     gateways = []
-    # Of a range of their own: a port of a gateway that is down stays free.
+    # These ports stay free while their gateway is down.
     ports = free_ports()
     for number in range(GATEWAY_COUNT):
         name = f'g{number}'
-        own = tuple(f'127.0.0.1:{port}' for port in islice(ports, _PORTS))
+        gateway_ports = tuple(
+            f'127.0.0.1:{port}' for port in islice(ports, _PORTS_PER_GATEWAY)
+        )
         path = folder / f'{name}.toml'
         path.write_text(
-            _SETTINGS.format(name=name, ports=own, store=store.address)
+            _SETTINGS.format(
+                name=name, ports=gateway_ports, store=store.address
+            )
         )
-        gateways.append(GatewayProcess(name, own, path, build))
+        gateways.append(GatewayProcess(name, gateway_ports, path, build))
     try:
         for gateway in gateways:
             await gateway.start()
@@ -133,22 +137,22 @@
 
 
 def unpack_build(commit: str, folder: Path) -> Path:
-    """Give the program of an earlier commit of this repository.
+    """Extract the program of an earlier commit; return its folder.
 
     Raises
     ------
     subprocess.CalledProcessError
-        If the repository does not hold it.
+        If the repository does not have the commit.
 
     """
     root = Path(__file__).resolve().parent.parent.parent
-    packed = subprocess.run(
+    archived = subprocess.run(
         ['git', 'archive', commit, 'seampond'],
         cwd=root,
         check=True,
         capture_output=True,
     ).stdout
     folder.mkdir(parents=True)
-    with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(archived)) as archive:
         archive.extractall(folder, filter='data')
     return folder
--- a/seampond/testing/gateway_soak.py
+++ b/seampond/testing/gateway_soak.py
@@ -44,17 +44,17 @@
 
 _SERVERS = 6
 _CALM_MS = 5000
-_CONTACT_MS = 3000
+_GRACE_MS = 3000
 _LATE_SENDS_MAX = 3
 _ATTEMPTS_MAX = 2
-_SERVED_PART = 0.9
+_MIN_SERVED_SHARE = 0.9
 _DRAIN_MS = 2000
-_UNWANTED_MAX = 2
+_BACKOFF_SENDS_MAX = 2
 
 
 @dataclass
 class SoakReport:
-    """What was sent and seen; `wrong` is empty if every promise held."""
+    """Counts of a soak; `wrong` lists the promises that were broken."""
 
     asked: int = 0
     statuses: Counter[int] = field(default_factory=Counter)
@@ -65,54 +65,56 @@
 
 
 def _find_wrong_requests(fleet: SignallingFleet, kind: str) -> list[str]:
-    """Hold each request against what its caller was told."""
-    sends = Counter(one.body for one in fleet.deliveries)
-    # What a server has turned away may go to another one.
+    """Compare the deliveries of each request with its response."""
+    sends = Counter(delivery.body for delivery in fleet.deliveries)
+    # A rejected request may be sent to another server.
     runs = fleet.count_runs()
-    most = 1 if kind == ONCE else _ATTEMPTS_MAX
+    runs_max = 1 if kind == ONCE else _ATTEMPTS_MAX
     wrong = []
-    for one in fleet.caller_requests:
-        if one.status == 200 and one.content != b'whole':
-            wrong.append(f'{one.body!r}: answered {one.content!r}')
-        if not one.body.startswith(b'sound'):
+    for request in fleet.caller_requests:
+        if request.status == 200 and request.content != b'whole':
+            wrong.append(f'{request.body!r}: answered {request.content!r}')
+        if not request.body.startswith(b'sound'):
             continue
-        if runs[one.body] > most:
-            wrong.append(f'{one.body!r}: run more than {most} times')
-        if sends[one.body] > _ATTEMPTS_MAX:
-            wrong.append(f'{one.body!r}: sent more than {_ATTEMPTS_MAX} times')
-        if one.status in (429, 503) and runs[one.body]:
-            wrong.append(f'{one.body!r}: told not run, and run')
+        if runs[request.body] > runs_max:
+            wrong.append(f'{request.body!r}: run more than {runs_max} times')
+        if sends[request.body] > _ATTEMPTS_MAX:
+            wrong.append(
+                f'{request.body!r}: sent more than {_ATTEMPTS_MAX} times'
+            )
+        if request.status in (429, 503) and runs[request.body]:
+            wrong.append(f'{request.body!r}: told not run, and run')
     return wrong
 
 
 def _find_wrong(
     fleet: SignallingFleet, kind: str, calm_ms: int, report: SoakReport
 ) -> list[str]:
-    """Hold what callers and servers have seen against the promises."""
+    """Compare what callers and servers saw with the promises."""
     wrong = _find_wrong_requests(fleet, kind)
     if report.late_sends > _LATE_SENDS_MAX:
         wrong.append(f'{report.late_sends} late sends of what ends servers')
     if fleet.count_sends_after_drain(_DRAIN_MS):
         wrong.append('sends to a server that had said that it leaves')
-    part = LimitCheck(fleet, _CONTACT_MS).worst_share()
-    if part > 1:
-        wrong.append(f'{part:.2f} of what a limit allows')
-    if fleet.max_sends_in_backoff() > _UNWANTED_MAX:
+    share = LimitCheck(fleet, _GRACE_MS).worst_share()
+    if share > 1:
+        wrong.append(f'{share:.2f} of what a limit allows')
+    if fleet.max_sends_in_backoff() > _BACKOFF_SENDS_MAX:
         wrong.append('sends to a server that wanted rest')
     served = fleet.served_share(calm_ms)
-    if served < _SERVED_PART:
+    if served < _MIN_SERVED_SHARE:
         wrong.append(f'served {served:.2f} after the faults')
     return wrong
 
 
-def _report(context: SoakContext, kind: str) -> SoakReport:
+def _build_report(context: SoakContext, kind: str) -> SoakReport:
     fleet = context.fleet
     report = SoakReport(
         len(fleet.caller_requests),
-        Counter(one.status for one in fleet.caller_requests),
+        Counter(request.status for request in fleet.caller_requests),
         context.faults,
         len(fleet.crash_times_ms),
-        fleet.count_late_sends(_CONTACT_MS),
+        fleet.count_late_sends(_GRACE_MS),
     )
     calm_ms = context.until_ms + _CALM_MS + _CALM_MS // 2
     report.wrong = _find_wrong(fleet, kind, calm_ms, report)
@@ -120,7 +122,7 @@
 
 
 def _read_logs(gateways: Sequence[GatewayProcess]) -> list[str]:
-    """Give who found a promise of its own broken, or was surprised."""
+    """Return the gateways that log a broken promise or a traceback."""
     wrong = []
     for gateway in gateways:
         log = gateway.path.with_suffix('.log').read_text()
@@ -129,54 +131,53 @@
     return wrong
 
 
-def _make_sound(number: int) -> bytes:
+def _make_distinct_body(number: int) -> bytes:
     return b'sound %d' % number
 
 
-def _make_popular(number: int) -> bytes:
+def _make_repeated_body(number: int) -> bytes:
     return b'popular'
 
 
-def _make_crashing(number: int) -> bytes:
+def _make_crashing_body(number: int) -> bytes:
     return CRASHING_BODY
 
 
-async def _play(
-    context: SoakContext, addresses: Sequence[str], for_ms: int
+async def _send_load(
+    context: SoakContext, addresses: Sequence[str], fault_ms: int
 ) -> None:
-    """Bring sound, popular and deadly requests under faults, then in calm."""
+    """Send distinct, repeated and crashing requests during and after faults."""
     fleet = context.fleet
-    whole_ms = for_ms + 2 * _CALM_MS
+    total_ms = fault_ms + 2 * _CALM_MS
 
     async with asyncio.TaskGroup() as group:
         group.create_task(inject_faults(context))
         if context.earlier_build is not None:
             group.create_task(replace_builds(context))
-        for make_body, every_ms in (
-            (_make_sound, 40),
-            (_make_popular, 120),
-            (_make_crashing, 350),
+        for make_body, interval_ms in (
+            (_make_distinct_body, 40),
+            (_make_repeated_body, 120),
+            (_make_crashing_body, 350),
         ):
             group.create_task(
-                fleet.send_requests(addresses, make_body, every_ms, whole_ms)
+                fleet.send_requests(addresses, make_body, interval_ms, total_ms)
             )
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """What a soak plays.
+    """The parameters of a soak.
 
     Parameters
     ----------
     seed : int
-        Decides the kind of route and the faults; the interleaving is the
-        machine's.
+        Determines the kind of route and the faults, but not the interleaving.
     seconds : float
-        How long faults come.
+        Duration of the faults.
     faults : Sequence[Fault]
-        Of which kinds.
+        Kinds of faults to inject.
     earlier_build : Path or None
-        Where the build lies that runs at first, and is replaced by this one.
+        Folder of the build to start with and replace, None for this one.
 
     """
 
@@ -187,11 +188,11 @@
 
 
 async def run_soak(folder: Path, plan: SoakPlan) -> SoakReport:
-    """Run gateways under faults for some seconds, then in calm."""
+    """Run gateways under faults, then for some time without."""
     rng = random.Random(plan.seed)
     kind = rng.choice((IDEMPOTENT, ONCE))
     clock = Clock()
-    for_ms = round(plan.seconds * MS_PER_SECOND)
+    fault_ms = round(plan.seconds * MS_PER_SECOND)
     async with (
         run_store() as store,
         run_signalling(store, _SERVERS, CRASHING_BODY.__eq__) as fleet,
@@ -206,19 +207,21 @@
             store,
             rng,
             clock,
-            clock.now() + for_ms,
+            clock.now() + fault_ms,
             configuration,
             plan.faults,
             plan.earlier_build,
         )
-        await _play(context, [one.ports[0] for one in gateways], for_ms)
-        report = _report(context, kind)
+        await _send_load(
+            context, [gateway.ports[0] for gateway in gateways], fault_ms
+        )
+        report = _build_report(context, kind)
         report.wrong.extend(_read_logs(gateways))
     return report
 
 
 def main() -> int:
-    """Parse the arguments, run, report; 1 if a promise was broken."""
+    """Run a soak and print its report; return 1 if a promise was broken."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--seconds', type=float, default=20)
--- a/seampond/testing/gateways.py
+++ b/seampond/testing/gateways.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of gateways."""
+"""Builders for gateway tests."""
 
 import asyncio
 from collections.abc import Iterable
@@ -59,32 +59,32 @@
 
 
 class MemorySink:
-    """Keeps the answer that a caller would get."""
+    """A sink that stores the response to a caller in memory."""
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create an empty sink."""
         self.has_started = False
         self.is_complete = False
         self.head = ResponseHead()
         self.body = b''
 
     async def start(self, head: ResponseHead, length: int | None) -> None:
-        """Keep the head."""
+        """Store the response head."""
         assert not self.has_started
         self.has_started = True
         self.head = head
 
     async def send(self, payload: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self.body += payload
 
     async def finish(self) -> None:
-        """Note the end."""
+        """Mark the response as complete."""
         self.is_complete = True
 
 
 def build_route(**changes: Any) -> Route:
-    """Give a route of idempotent work with two attempts."""
+    """Return a route for idempotent requests with two attempts."""
     content: dict[str, Any] = {
         'name': 'r',
         'host': 'a.example',
@@ -100,7 +100,7 @@
 
 
 def build_job(request_id: str = 'r1', **changes: Any) -> Job:
-    """Give a request that arrived just now."""
+    """Return a job for a request that has just arrived."""
     route = changes.pop('route', None) or build_route()
     now_ms = changes.pop('arrived_ms', Clock().now())
     content: dict[str, Any] = {
@@ -125,7 +125,7 @@
 
 
 def build_server(server_id: str, address: str = '', **changes: Any) -> Server:
-    """Give a server of four slots."""
+    """Return a server with four slots."""
     content: dict[str, Any] = {
         'id': server_id,
         'pool': POOL,
@@ -139,21 +139,21 @@
 def build_backends(
     servers: Iterable[Server], clock: Clock | None = None
 ) -> Backends:
-    """Give a list of servers."""
+    """Return a registry of the given servers."""
     backends = Backends(clock or Clock(), NAMES.request_id)
     backends.replace_all(servers)
     return backends
 
 
 def build_quarantine(clock: Clock | None = None) -> Quarantine:
-    """Give a quarantine without a store: no trials."""
+    """Return a quarantine that has no store and so allows no trials."""
     clock = clock or Clock()
     return Quarantine(
         Suspects(clock),
         Trials(StoreClock(), clock),
         hash_name,
         lambda: None,
-        lambda leave: None,
+        lambda permission: None,
         clock,
     )
 
@@ -165,16 +165,16 @@
     gateways: int = 1,
     budget: RetryBudget | None = None,
 ) -> Forwarder:
-    """Give a forwarder with a wide retry budget."""
+    """Return a forwarder with a large retry budget by default."""
     clock = Clock()
-    wide = RetryBudget(0, allowance, 10_000, lambda: gateways, clock)
+    default_budget = RetryBudget(0, allowance, 10_000, lambda: gateways, clock)
     return Forwarder(
         ForwarderContext(
             backends,
             Scheduler(
                 backends, ZONE, clock, lambda: gateways, build_promises()
             ),
-            budget or wide,
+            budget or default_budget,
             NAMES,
             GatewayMetrics(),
             clock,
@@ -186,20 +186,27 @@
 
 
 def build_progress(**changes: Any) -> tuple[Progress, MemorySink]:
-    """Give a request and where its answer goes."""
+    """Return the progress of a request and the sink of its response."""
     sink = MemorySink()
     return Progress(build_job(**changes), sink), sink
 
 
 def get_backend(backends: Backends, server_id: str) -> Backend:
-    """Give one server of a list."""
+    """Return the backend with the given server id."""
     backend = backends.get(server_id)
     assert backend is not None
     return backend
 
 
-async def wait_until(holds: Any, seconds: float = 5) -> None:
-    """Wait for a state; fails if it does not come."""
+async def wait_until(condition: Any, seconds: float = 5) -> None:
+    """Poll a condition until it holds.
+
+    Raises
+    ------
+    TimeoutError
+        If it does not hold in time.
+
+    """
     async with asyncio.timeout(seconds):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.005)
--- a/seampond/testing/limit_checks.py
+++ b/seampond/testing/limit_checks.py
@@ -1,4 +1,4 @@
-"""What servers that name a limit get from all gateways, seen from outside."""
+"""Checks that all gateways together keep to the limits of servers."""
 
 import itertools
 from dataclasses import dataclass
@@ -12,20 +12,21 @@
 )
 
 _WINDOW_MS = 4000
-_LEEWAY = 1.5
-_LEEWAY_REQUESTS = 5
-# Who has passed on an answer that names the limit so long ago is bound by it.
+# A window may have this factor of the limit, and these requests beside it.
+_ALLOWED_FACTOR = 1.5
+_ALLOWED_EXTRA = 5
+# A gateway keeps to a limit this long after a response reported it.
 _INFORMED_MS = 500
 
 
 @dataclass(frozen=True)
 class LimitCheck:
-    """What servers with a limit got, as a fleet has seen it.
+    """Compares the requests that servers received with their limits.
 
     Parameters
     ----------
     grace_ms : int
-        How long after a limit was first named, or changed, it binds.
+        Time after which a new or changed limit must be kept.
 
     """
 
@@ -33,97 +34,107 @@
     grace_ms: int
 
     def worst_share(self) -> float:
-        """Give the worst window's requests as a part of what is allowed."""
-        lives = itertools.chain.from_iterable(
-            map(_split_incarnations, self.fleet.signalling_servers)
+        """Return the busiest window as a share of what the limit allows."""
+        spans = itertools.chain.from_iterable(
+            map(_split_limited_spans, self.fleet.signalling_servers)
         )
-        parts = itertools.chain.from_iterable(map(self._parts, lives))
-        return max(parts, default=0)
+        shares = itertools.chain.from_iterable(map(self._window_shares, spans))
+        return max(shares, default=0)
 
     def used_share(self, since_ms: int, until_ms: int) -> float:
-        """Give what reached the servers as a part of their limits' sum."""
+        """Return the requests received as a share of what the limits allow."""
         seconds = (until_ms - since_ms) / MS_PER_SECOND
         limits = (
-            parse_limit(one.limit) or 0 for one in self.fleet.signalling_servers
+            parse_limit(server.limit) or 0
+            for server in self.fleet.signalling_servers
         )
         count = sum(
-            since_ms <= one.delivery.at_ms < until_ms
+            since_ms <= arrival.delivery.at_ms < until_ms
             for server in self.fleet.signalling_servers
-            for one in server.arrivals
+            for arrival in server.arrivals
         )
         return count / (sum(limits) * seconds)
 
-    def _parts(self, arrivals: list[Arrival]) -> list[float]:
-        """Give for each counted arrival the part of the window it ends."""
-        named = [one for one in arrivals if parse_limit(one.limit) is not None]
-        if not named:
+    def _window_shares(self, arrivals: list[Arrival]) -> list[float]:
+        """Return, for each counted arrival, the share of the window it ends."""
+        limited = [
+            arrival
+            for arrival in arrivals
+            if parse_limit(arrival.limit) is not None
+        ]
+        if not limited:
             return []
-        binds_ms = named[0].answered_ms + self.grace_ms
+        binding_ms = limited[0].answered_ms + self.grace_ms
         counted = [
-            one
-            for one in named
-            if one.delivery.at_ms >= binds_ms and self._is_informed(one, named)
+            arrival
+            for arrival in limited
+            if arrival.delivery.at_ms >= binding_ms
+            and self._is_informed(arrival, limited)
         ]
         return [
-            self._count(counted, one) / self._allow(named, one)
-            for one in counted
+            self._count_window(counted, arrival)
+            / self._allowed_requests(limited, arrival)
+            for arrival in counted
         ]
 
-    def _count(self, counted: list[Arrival], last: Arrival) -> int:
+    def _count_window(self, counted: list[Arrival], last: Arrival) -> int:
         until_ms = last.delivery.at_ms
         return sum(
-            until_ms - _WINDOW_MS < one.delivery.at_ms <= until_ms
-            for one in counted
+            until_ms - _WINDOW_MS < arrival.delivery.at_ms <= until_ms
+            for arrival in counted
         )
 
-    def _allow(self, named: list[Arrival], last: Arrival) -> float:
-        """Give what is allowed in a window; a change binds some time later."""
+    def _allowed_requests(self, limited: list[Arrival], last: Arrival) -> float:
+        """Return what a window allows by its highest recent limit."""
         until_ms = last.delivery.at_ms
         since_ms = until_ms - _WINDOW_MS - self.grace_ms
-        most = max(
-            parse_limit(one.limit) or 0
-            for one in named
-            if since_ms <= one.delivery.at_ms <= until_ms
+        max_limit = max(
+            parse_limit(arrival.limit) or 0
+            for arrival in limited
+            if since_ms <= arrival.delivery.at_ms <= until_ms
         )
         seconds = _WINDOW_MS / MS_PER_SECOND
-        return _LEEWAY * most * seconds + _LEEWAY_REQUESTS
+        return _ALLOWED_FACTOR * max_limit * seconds + _ALLOWED_EXTRA
 
-    def _is_informed(self, arrival: Arrival, named: list[Arrival]) -> bool:
-        """Whether its gateway has passed on a limit of this life before."""
+    def _is_informed(self, arrival: Arrival, limited: list[Arrival]) -> bool:
+        """Return True if the gateway has received a limit of this span."""
         gateways = self.fleet.gateways_by_request()
         gateway = gateways[arrival.delivery.request_id]
         at_ms = arrival.delivery.at_ms
         return any(
-            0 < one.answered_ms <= at_ms - _INFORMED_MS
-            and gateways[one.delivery.request_id] == gateway
-            and not self.fleet.was_disrupted(gateway, one.answered_ms, at_ms)
-            for one in named
+            0 < previous.answered_ms <= at_ms - _INFORMED_MS
+            and gateways[previous.delivery.request_id] == gateway
+            and not self.fleet.was_disrupted(
+                gateway, previous.answered_ms, at_ms
+            )
+            for previous in limited
         )
 
 
-def _split_incarnations(server: SignallingServer) -> list[list[Arrival]]:
-    """Give what came in each life while a limit was named.
+def _split_limited_spans(server: SignallingServer) -> list[list[Arrival]]:
+    """Split arrivals into spans in which one incarnation reports a limit.
 
     Explanation
     -----------
-    One that is named anew, after answers without any, binds anew.
+    A limit that is reported again after responses without one starts a new
+    span.
     """
     spans: list[list[Arrival]] = []
-    before: Arrival | None = None
+    previous: Arrival | None = None
     for arrival in server.arrivals:
-        is_first = before is None or not before.limit
+        is_first = previous is None or not previous.limit
         if arrival.limit and (
-            is_first or _is_other_incarnation(before, arrival)
+            is_first or _is_other_incarnation(previous, arrival)
         ):
             spans.append([])
         if arrival.limit:
             spans[-1].append(arrival)
-        before = arrival
+        previous = arrival
     return spans
 
 
-def _is_other_incarnation(before: Arrival | None, arrival: Arrival) -> bool:
+def _is_other_incarnation(previous: Arrival | None, arrival: Arrival) -> bool:
     return (
-        before is None
-        or before.delivery.incarnation != arrival.delivery.incarnation
+        previous is None
+        or previous.delivery.incarnation != arrival.delivery.incarnation
     )
--- a/seampond/testing/scripted.py
+++ b/seampond/testing/scripted.py
@@ -1,4 +1,4 @@
-"""An HTTP server that answers as a test says, also wrongly."""
+"""An HTTP server with scripted, possibly invalid, responses."""
 
 import asyncio
 import socket
@@ -9,8 +9,8 @@
 
 from seampond.tasks import cancel_all
 
-_END = b'\r\n\r\n'
-_ENDS = (
+_HEAD_END = b'\r\n\r\n'
+_DISCONNECT_ERRORS = (
     asyncio.IncompleteReadError,
     asyncio.CancelledError,
     ConnectionError,
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request as it came."""
+    """A request as received by the server."""
 
     method: str
     target: bytes
@@ -28,10 +28,10 @@
     body: bytes
 
     def get(self, name: str) -> str:
-        """Give the first value of a header, empty if there is none."""
-        wanted = name.lower().encode()
-        for known, text in self.headers:
-            if known.lower() == wanted:
+        """Return the first value of a header, or an empty string."""
+        lower_name = name.lower().encode()
+        for header, text in self.headers:
+            if header.lower() == lower_name:
                 return text.decode('latin-1')
         return ''
 
@@ -43,12 +43,12 @@
 
 @dataclass
 class ScriptedServer:
-    """Where it listens, what came, and which connections broke.
+    """Address, received requests and connection counts of a server.
 
     Parameters
     ----------
     disconnect_count : int
-        Connections that the other side has ended.
+        Connections that ended while the server read or responded.
 
     """
 
@@ -59,16 +59,16 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Break a connection with a reset, not with a clean end."""
+    """Abort a connection with a TCP reset."""
     raw = writer.get_extra_info('socket')
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
     writer.transport.abort()
 
 
 async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
-    """Read one request, with a body of a told length."""
-    head = await reader.readuntil(_END)
-    first, *lines = head[: -len(_END)].split(b'\r\n')
+    """Read one request; its body needs a Content-Length header."""
+    head = await reader.readuntil(_HEAD_END)
+    first, *lines = head[: -len(_HEAD_END)].split(b'\r\n')
     method, target, _ = first.split(b' ')
     pairs = [line.partition(b':') for line in lines]
     headers = tuple((name, text.strip()) for name, _, text in pairs)
@@ -81,7 +81,7 @@
 
 @asynccontextmanager
 async def run_scripted(handle: RequestHandler) -> AsyncIterator[ScriptedServer]:
-    """Serve on a free port of loopback until the end of the `with`."""
+    """Run a server on a free loopback port."""
     server = ScriptedServer()
     tasks: set[asyncio.Task[None]] = set()
 
@@ -98,7 +98,7 @@
                 server.received.append(request)
                 await handle(request, writer)
                 await writer.drain()
-        except _ENDS:
+        except _DISCONNECT_ERRORS:
             server.disconnect_count += 1
         finally:
             writer.close()
@@ -120,26 +120,33 @@
     *,
     length: int | None = None,
 ) -> bytes:
-    """Give the bytes of an answer, with a length that may be wrong."""
+    """Return the bytes of a response.
+
+    Parameters
+    ----------
+    length : int or None
+        Content-Length to send, None for the length of `body`.
+
+    """
     lines = [f'HTTP/1.1 {status} X']
     lines.extend(f'{name}: {text}' for name, text in headers.items())
     size = len(body) if length is None else length
     lines.append(f'Content-Length: {size}')
     head = '\r\n'.join(lines).encode()
-    return b''.join((head, _END, body))
+    return b''.join((head, _HEAD_END, body))
 
 
 def format_chunked_response(
     headers: Mapping[str, str], *chunks: bytes
 ) -> bytes:
-    """Give a chunked answer; an empty last chunk ends it."""
+    """Return a chunked response; it ends if the last chunk is empty."""
     lines = ['HTTP/1.1 200 OK', 'Transfer-Encoding: chunked']
     lines.extend(f'{name}: {text}' for name, text in headers.items())
-    parts = ['\r\n'.join(lines).encode(), _END]
+    parts = ['\r\n'.join(lines).encode(), _HEAD_END]
     parts.extend(map(format_chunk, chunks))
     return b''.join(parts)
 
 
 def format_chunk(chunk: bytes) -> bytes:
-    """Give the bytes of one chunk; an empty one ends an answer."""
+    """Return one encoded chunk; an empty chunk ends the response."""
     return b'%x\r\n%b\r\n' % (len(chunk), chunk)
--- a/seampond/testing/signalling.py
+++ b/seampond/testing/signalling.py
@@ -1,4 +1,4 @@
-"""Servers that say of themselves what they want, and what they then get."""
+"""Servers that signal drain, back-off and limits in response headers."""
 
 import asyncio
 import itertools
@@ -30,13 +30,13 @@
 LIMIT_HEADER = HEADERS.limit.decode()
 _NOT_RUN_HEADER = HEADERS.not_run.decode()
 _RETRY_AFTER = 'retry-after'
-# What is under way when a server asks for rest may still come.
+# Requests in flight when a signal is sent may still arrive this long.
 _IN_FLIGHT_MS = 500
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """A send that its server answered with a wish for rest."""
+    """A delivery rejected with a back-off time."""
 
     delivery: Delivery
     backoff_ms: int
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """A send to a server, and the limit that the server named then.
+    """A delivery and the limit that the server reported with it.
 
     Parameters
     ----------
     limit : str
-        As it stands in the header, empty for none.
+        Text of the limit header, empty for none.
     answered_ms : int
-        When the head of its answer went out, 0 if none did.
+        When the response head was sent, 0 if it was not.
 
     """
 
@@ -62,27 +62,28 @@
 
 @dataclass
 class SignallingServer(CrashingServer):
-    """One server, and what it says in its answers.
+    """A server that reports its state in response headers.
 
     Parameters
     ----------
     is_draining : bool
-        Whether it says that it leaves.
+        Whether responses announce that the server drains.
     is_overloaded : bool
-        Whether it turns all requests away.
+        Whether it rejects all requests.
     retry_after : str
-        The time that it then asks for, as it stands in the header; empty
-        for none.
+        Text of the Retry-After header of rejections, empty for none.
     limit : str
-        The limit that it names, as it stands in the header; empty for none.
+        Text of the limit header, empty for none.
     reject_every : int
-        Of how many requests it turns one away, 0 for none.
+        Rejects every n-th request, 0 for none.
     arrivals : list[Arrival]
-        What reached it.
+        Deliveries, apart from those that crash the server.
+    rejections : list[Rejection]
+        Deliveries that were rejected with a Retry-After header.
     announced_drain : list[Delivery]
-        Sends that were answered with a word of its leave.
+        Deliveries whose response announced the drain.
     rejected : list[Delivery]
-        Sends that it has turned away.
+        All deliveries that were rejected.
 
     """
 
@@ -99,18 +100,18 @@
 
     @property
     def is_row_draining(self) -> bool:
-        """Whether the row of this life has said that it leaves."""
+        """Whether this incarnation's row has said that it drains."""
         return self._row_drained_ms == self.started_ms
 
     async def start(self) -> None:
-        """Begin a life in which nothing has been said."""
+        """Start an incarnation that has sent no signals."""
         self.is_draining = False
         self.is_overloaded = False
         self.limit = ''
         await super().start()
 
     def put_row(self, **changes: Any) -> None:
-        """Write its row, and keep in mind what it said."""
+        """Write the server's row and record whether it says draining."""
         if changes.get('state') == DRAINING_STATE:
             self._row_drained_ms = self.started_ms
         super().put_row(**changes)
@@ -174,13 +175,13 @@
 
 @dataclass
 class SignallingFleet(CrashingFleet):
-    """Such servers, their callers, and what both have seen.
+    """A fleet of signalling servers, with checks of the gateways.
 
     Parameters
     ----------
     disrupted_ms : dict[str, list[int]]
-        When a gateway was killed, stopped, frozen or thawed, by its address:
-        what it had been told before binds it no more.
+        When a gateway was killed, stopped, frozen or resumed, by address.
+        Signals that it received before then no longer count.
 
     """
 
@@ -188,58 +189,66 @@
     disrupted_ms: dict[str, list[int]] = field(default_factory=dict)
 
     def count_sends_after_drain(self, drain_ms: int) -> int:
-        """Count the sends that came so long after a word of a leave.
+        """Count requests sent to a server after its drain time.
 
         Explanation
         -----------
-        The word binds the gateway that was given it, towards that life of the
-        server; what counts is when a caller sent the request.
+        A drain signal applies to the gateway that received it and to that
+        incarnation of the server.  The time of a request is when its caller
+        sent it.
         """
-        asked = {one.request_id: one for one in self.caller_requests}
-        told: dict[tuple[str, str, int], list[int]] = {}
+        requests = {
+            request.request_id: request for request in self.caller_requests
+        }
+        signalled: dict[tuple[str, str, int], list[int]] = {}
         for server in self.signalling_servers:
             for delivery in server.announced_drain:
                 key = _connection_key(
-                    delivery, asked[delivery.request_id].gateway
+                    delivery, requests[delivery.request_id].gateway
                 )
-                told.setdefault(key, []).append(delivery.at_ms)
+                signalled.setdefault(key, []).append(delivery.at_ms)
         late = 0
         for delivery in self.deliveries:
-            one = asked[delivery.request_id]
+            request = requests[delivery.request_id]
             late += any(
-                one.at_ms > told_ms + drain_ms
-                and not self.was_disrupted(one.gateway, told_ms, delivery.at_ms)
-                for told_ms in told.get(
-                    _connection_key(delivery, one.gateway), ()
+                request.at_ms > signalled_ms + drain_ms
+                and not self.was_disrupted(
+                    request.gateway, signalled_ms, delivery.at_ms
+                )
+                for signalled_ms in signalled.get(
+                    _connection_key(delivery, request.gateway), ()
                 )
             )
         return late
 
     def count_runs(self) -> Counter[bytes]:
-        """Count the sends of each body that were not turned away."""
+        """Count the deliveries of each body that were not rejected."""
         lists = (server.rejected for server in self.signalling_servers)
         rejected = Counter(
-            one.body for one in itertools.chain.from_iterable(lists)
+            delivery.body for delivery in itertools.chain.from_iterable(lists)
         )
-        return Counter(one.body for one in self.deliveries) - rejected
+        return Counter(delivery.body for delivery in self.deliveries) - rejected
 
     def max_sends_in_backoff(self) -> int:
-        """Give the most sends from one gateway inside one time of rest."""
+        """Return the most requests of one gateway within one back-off."""
         return max(self._sends_in_backoff(), default=0)
 
     def list_rejections(self) -> list[Rejection]:
-        """Give the sends that were answered with a wish for rest."""
+        """Return the deliveries that were rejected with a back-off."""
         lists = (server.rejections for server in self.signalling_servers)
         return list(itertools.chain.from_iterable(lists))
 
     def gateways_by_request(self) -> dict[str, str]:
-        """Give the address of the gateway that each request was sent to."""
-        return {one.request_id: one.gateway for one in self.caller_requests}
+        """Return the gateway address of each request, by request id."""
+        return {
+            request.request_id: request.gateway
+            for request in self.caller_requests
+        }
 
     def was_disrupted(self, gateway: str, since_ms: int, until_ms: int) -> bool:
-        """Whether a gateway lost in a span what it had been told."""
+        """Return True if a gateway may have lost signals in an interval."""
         disrupted_ms = self.disrupted_ms.get(gateway, ())
-        # A request may have been under way when the gateway was struck.
+        # Its request may have been in flight when the gateway was disrupted.
         return any(
             since_ms - _IN_FLIGHT_MS <= at_ms <= until_ms
             for at_ms in disrupted_ms
@@ -247,15 +256,15 @@
 
     def _sends_in_backoff(self) -> Iterator[int]:
         gateways = self.gateways_by_request()
-        for turned in self.list_rejections():
-            gateway = gateways[turned.delivery.request_id]
-            since_ms = turned.delivery.at_ms + _IN_FLIGHT_MS
-            until_ms = turned.delivery.at_ms + turned.backoff_ms
-            binding = _connection_key(turned.delivery, gateway)
+        for rejection in self.list_rejections():
+            gateway = gateways[rejection.delivery.request_id]
+            since_ms = rejection.delivery.at_ms + _IN_FLIGHT_MS
+            until_ms = rejection.delivery.at_ms + rejection.backoff_ms
+            key = _connection_key(rejection.delivery, gateway)
             yield sum(
                 since_ms < delivery.at_ms < until_ms
                 and _connection_key(delivery, gateways[delivery.request_id])
-                == binding
+                == key
                 and not self.was_disrupted(gateway, since_ms, delivery.at_ms)
                 for delivery in self.deliveries
             )
@@ -266,7 +275,7 @@
 
 
 def _never(body: bytes) -> bool:
-    """End under nothing."""
+    """Return False for every body."""
     return False
 
 
@@ -277,7 +286,7 @@
     crashes_on: Callable[[bytes], bool] = _never,
     **row: Any,
 ) -> AsyncIterator[SignallingFleet]:
-    """Run such servers until the end of the `with`."""
+    """Run a fleet of signalling servers."""
     clock = Clock()
     fleet = SignallingFleet(store, clock, crashes_on=crashes_on)
     fleet.signalling_servers.extend(
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -1,4 +1,4 @@
-"""What strikes gateways, servers and the store in a soak."""
+"""Faults of gateways, servers and the store in a soak."""
 
 import asyncio
 import random
@@ -15,12 +15,11 @@
 from seampond.testing.signalling import SignallingFleet
 from seampond.testing.store import StandInStore
 
-# How long a server says that it leaves before its row does, and after it.
-_LEAVE_MS = 2500
-_ROW_PART = 0.7
-# How many gateways are set back to the earlier build once.
-_BACK_PART = 0.3
-_BETWEEN_MS = 800
+# Longest time between a drain signal and the row, and from there to the end.
+_DRAIN_STEP_MS = 2500
+_DRAINING_ROW_PROBABILITY = 0.7
+_DOWNGRADE_PROBABILITY = 0.3
+_REPLACE_INTERVAL_MAX_MS = 800
 _LIMITS = (0, 0.2, 0.7, 1.5, 4)
 
 Fault = Callable[['SoakContext'], Awaitable[None]]
@@ -28,7 +27,7 @@
 
 @dataclass
 class SoakContext:
-    """What faults may strike."""
+    """What faults act on, and how often each was injected."""
 
     gateways: Sequence[GatewayProcess]
     fleet: SignallingFleet
@@ -44,12 +43,12 @@
     def send_signal(
         self, gateway: GatewayProcess, number: signal.Signals
     ) -> None:
-        """Send a gateway a signal, and note when that was."""
+        """Send a signal to a gateway and record the time."""
         self.record_disruption(gateway)
         gateway.signal(number)
 
     def record_disruption(self, gateway: GatewayProcess) -> None:
-        """Note that a gateway has lost now what it was told."""
+        """Record that a gateway may have lost the signals it received."""
         disrupted_ms = self.fleet.disrupted_ms.setdefault(gateway.ports[0], [])
         disrupted_ms.append(self.clock.now())
 
@@ -57,22 +56,22 @@
 async def _kill(context: SoakContext) -> None:
     gateway = context.rng.choice(context.gateways)
     context.send_signal(gateway, signal.SIGKILL)
-    await _come_back(context, gateway)
+    await _restart(context, gateway)
 
 
 async def _stop(context: SoakContext) -> None:
     gateway = context.rng.choice(context.gateways)
     context.send_signal(gateway, signal.SIGTERM)
-    await _come_back(context, gateway)
+    await _restart(context, gateway)
 
 
-async def _come_back(context: SoakContext, gateway: GatewayProcess) -> None:
+async def _restart(context: SoakContext, gateway: GatewayProcess) -> None:
     process = gateway.process
     await gateway.wait()
-    # Until then it serves, and learns; what it has learned is gone with it.
+    # It received signals until it ended; those are lost too.
     context.record_disruption(gateway)
     await context.clock.sleep(context.rng.uniform(100, 1000))
-    # Another fault may have started it meanwhile.
+    # Another fault may have restarted it.
     if gateway.process is process:
         await gateway.start()
 
@@ -87,8 +86,8 @@
 async def _kill_all(context: SoakContext) -> None:
     for gateway in context.gateways:
         context.send_signal(gateway, signal.SIGKILL)
-    backs = [_come_back(context, killed) for killed in context.gateways]
-    await asyncio.gather(*backs)
+    restarts = [_restart(context, killed) for killed in context.gateways]
+    await asyncio.gather(*restarts)
 
 
 async def _store_away(context: SoakContext) -> None:
@@ -108,20 +107,23 @@
 
 
 async def _leave(context: SoakContext) -> None:
-    """Let a server say that it leaves, with its row or without, and end."""
+    """Drain and crash a server, with or without a draining row."""
     server = context.rng.choice(context.fleet.signalling_servers)
     started_ms = server.started_ms
     server.is_draining = True
-    await context.clock.sleep(context.rng.uniform(0, _LEAVE_MS))
-    if context.rng.random() < _ROW_PART and server.started_ms == started_ms:
+    await context.clock.sleep(context.rng.uniform(0, _DRAIN_STEP_MS))
+    if (
+        context.rng.random() < _DRAINING_ROW_PROBABILITY
+        and server.started_ms == started_ms
+    ):
         server.put_row(state=DRAINING_STATE)
-    await context.clock.sleep(_LEAVE_MS)
+    await context.clock.sleep(_DRAIN_STEP_MS)
     if server.started_ms == started_ms:
         server.crash()
 
 
 async def _want_rest(context: SoakContext) -> None:
-    """Let a server turn all away and ask for rest, which it may exceed."""
+    """Let a server reject all requests and ask callers to back off."""
     server = context.rng.choice(context.fleet.signalling_servers)
     server.retry_after = str(round(context.rng.uniform(0.5, 3), 2))
     server.is_overloaded = True
@@ -130,7 +132,7 @@
 
 
 async def _restore_store(context: SoakContext) -> None:
-    """Let the store come back older; what others wrote comes again."""
+    """Restore the store from a backup; servers write their rows again."""
     context.store.is_down = True
     await context.clock.sleep(context.rng.uniform(100, 1000))
     lost_ms = context.rng.uniform(500, 3000)
@@ -145,7 +147,7 @@
 
 
 async def _name_limit(context: SoakContext) -> None:
-    """Let a server name a limit for a while, and maybe another one."""
+    """Let a server report one or two limits in turn."""
     server = context.rng.choice(context.fleet.signalling_servers)
     for _ in range(context.rng.randrange(1, 3)):
         server.limit = str(context.rng.choice(_LIMITS))
@@ -166,8 +168,8 @@
 )
 
 
-# The same, servers that speak of themselves, a store that comes back older.
-# Apart, so that a seed of the first stays the run that it was.
+# Adds server signals and store restores.  A tuple of its own, since the runs
+# of a seed depend on the faults to choose from.
 LATER_FAULTS: tuple[Fault, ...] = (
     *FAULTS,
     _leave,
@@ -178,7 +180,7 @@
 )
 
 
-# The same, and limits: apart for the same reason.
+# Adds server limits, for the same reason in a tuple of its own.
 LIMIT_FAULTS: tuple[Fault, ...] = (
     *LATER_FAULTS,
     _name_limit,
@@ -189,7 +191,7 @@
 
 
 async def inject_faults(context: SoakContext) -> None:
-    """Let faults come in series that overlap, until the time is over."""
+    """Inject random, overlapping faults until the end of the fault time."""
     async with asyncio.TaskGroup() as group:
         while context.clock.now() < context.until_ms:
             await context.clock.sleep(context.rng.uniform(200, 2500))
@@ -199,15 +201,15 @@
 
 
 async def replace_builds(context: SoakContext) -> None:
-    """Replace gateways of an earlier build one by one, sometimes back.
+    """Upgrade the gateways of an earlier build, with random downgrades.
 
     Explanation
     -----------
-    Where the time is over before all are replaced, the rest stays as it is.
+    Gateways that are not replaced by the end of the fault time are left.
     """
     for gateway in context.gateways:
         await _replace(context, gateway, None)
-        if context.rng.random() < _BACK_PART:
+        if context.rng.random() < _DOWNGRADE_PROBABILITY:
             await _replace(context, gateway, context.earlier_build)
             await _replace(context, gateway, None)
 
@@ -215,11 +217,11 @@
 async def _replace(
     context: SoakContext, gateway: GatewayProcess, build: Path | None
 ) -> None:
-    """Stop a gateway, and start it anew from another build."""
-    await context.clock.sleep(context.rng.uniform(0, _BETWEEN_MS))
+    """Stop a gateway and restart it from another build."""
+    await context.clock.sleep(context.rng.uniform(0, _REPLACE_INTERVAL_MAX_MS))
     if context.clock.now() >= context.until_ms:
         return
     context.faults['replaced'] += 1
     gateway.build = build
     context.send_signal(gateway, signal.SIGTERM)
-    await _come_back(context, gateway)
+    await _restart(context, gateway)
--- a/seampond/testing/store.py
+++ b/seampond/testing/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the store of the users' platform, with its troubles."""
+"""A stand-in for the platform's store that can inject faults."""
 
 import asyncio
 import base64
@@ -17,26 +17,27 @@
     run_scripted,
 )
 
-# How often a part of an answer goes out over a narrow link.
-_PART_MS = 50
+_CHUNK_INTERVAL_MS = 50
+# The store's clock differs from that of its callers.
+_CLOCK_OFFSET_MS = 1_000_000
 
 
 @dataclass
 class StandInStore:
-    """Rows in memory, and what goes wrong with calls about them.
+    """An in-memory store with configurable faults.
 
     Parameters
     ----------
     next_delay_ms : int
-        How late the next answers are.
+        Delay of the next response; reset after that.
     is_down : bool
-        Whether each call is answered with 503.
+        Whether every call is answered with status 503.
     oldest_version : int
-        The oldest version that feeds still know.
+        The oldest version from which change feeds can resume.
     bytes_per_s : int
-        How fast answers go out, 0 for any speed: a narrow link of the caller.
+        Bandwidth of responses, 0 for no limit.
     era : int
-        How often it was restored from an older copy of itself.
+        Number of times the store was restored from a backup.
 
     """
 
@@ -55,25 +56,25 @@
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, table: str, key: str, content: object) -> None:
-        """Write a row as the operator or a server would."""
+        """Write a row."""
         text = content if isinstance(content, bytes) else json.dumps(content)
         raw = text if isinstance(text, bytes) else text.encode()
-        self._store(table, key, {'value': base64.b64encode(raw).decode()})
+        self._append(table, key, {'value': base64.b64encode(raw).decode()})
 
     def delete(self, table: str, key: str) -> None:
-        """Remove a row."""
-        self._store(table, key, {'gone': True})
+        """Delete a row."""
+        self._append(table, key, {'gone': True})
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the change history."""
         self.oldest_version = self.version
-        self._wake()
+        self._notify_feeds()
 
-    def restore_backup(self, since_ms: int) -> None:
-        """Be restored from a copy of a moment; later writes are lost."""
-        kept = bisect.bisect_right(self._written_ms, since_ms)
-        self._history = self._history[:kept]
-        self._written_ms = self._written_ms[:kept]
+    def restore_backup(self, backup_ms: int) -> None:
+        """Restore the state of an earlier time; later writes are lost."""
+        retained = bisect.bisect_right(self._written_ms, backup_ms)
+        self._history = self._history[:retained]
+        self._written_ms = self._written_ms[:retained]
         self.rows = {
             (str(row['table']), str(row[names.KEY_FIELD])): row
             for row in self._history
@@ -81,25 +82,25 @@
         newest = self._history[-1] if self._history else {}
         self.version = int(str(newest.get('ver', 1)))
         self.era += 1
-        self._wake()
+        self._notify_feeds()
 
     def build_response(
         self, request: ReceivedRequest, content: object
     ) -> bytes:
-        """Give the bytes of a good answer."""
-        return self._stamp(200, json.dumps(content).encode())
+        """Return the bytes of a successful response."""
+        return self._format(200, json.dumps(content).encode())
 
     async def handle(
         self, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer one call."""
+        """Handle one call."""
         parts = urlsplit(request.target.decode())
         self.calls.append(parts.path)
         if self.is_down:
-            writer.write(self._stamp(503))
+            writer.write(self._format(503))
             return
         query = {name: text[0] for name, text in parse_qs(parts.query).items()}
-        next_delay_ms = self.next_delay_ms
+        delay_ms = self.next_delay_ms
         self.next_delay_ms = 0
         if parts.path == names.FEED_PATH:
             content = await self._feed(query)
@@ -108,34 +109,39 @@
         elif self._transact(json.loads(request.body)):
             content = {}
         else:
-            writer.write(self._stamp(412))
+            writer.write(self._format(412))
             return
         if content is None:
-            writer.write(self._stamp(410))
+            writer.write(self._format(410))
             return
-        stamped = {
+        response = {
             'ver': self.version,
-            'now_ms': self.clock.now() + 1_000_000,
+            'now_ms': self.clock.now() + _CLOCK_OFFSET_MS,
         } | content
-        await asyncio.sleep(next_delay_ms / MS_PER_SECOND)
-        await self._send(writer, self.build_response(request, stamped))
+        await asyncio.sleep(delay_ms / MS_PER_SECOND)
+        await self._send(writer, self.build_response(request, response))
 
-    def _stamp(self, status: int, body: bytes = b'') -> bytes:
+    def _format(self, status: int, body: bytes = b'') -> bytes:
         headers = {names.ERA_HEADER.decode(): str(self.era)} if self.era else {}
         return format_response(status, headers, body)
 
-    async def _send(self, writer: asyncio.StreamWriter, answer: bytes) -> None:
-        """Send an answer at the speed of the link."""
+    async def _send(
+        self, writer: asyncio.StreamWriter, response: bytes
+    ) -> None:
+        """Send a response at the configured bandwidth."""
         if not self.bytes_per_s:
-            writer.write(answer)
+            writer.write(response)
             return
-        part_bytes = max(1, self.bytes_per_s * _PART_MS // MS_PER_SECOND)
-        for start in range(0, len(answer), part_bytes):
-            writer.write(answer[start : start + part_bytes])
+        chunk_bytes = max(
+            1, self.bytes_per_s * _CHUNK_INTERVAL_MS // MS_PER_SECOND
+        )
+        for start in range(0, len(response), chunk_bytes):
+            writer.write(response[start : start + chunk_bytes])
             await writer.drain()
-            await asyncio.sleep(_PART_MS / MS_PER_SECOND)
+            await asyncio.sleep(_CHUNK_INTERVAL_MS / MS_PER_SECOND)
 
     async def _feed(self, query: dict[str, str]) -> dict[str, object] | None:
+        """Wait for changes; return None if the version is unknown."""
         since = int(query[names.SINCE_PARAMETER])
         until_ms = self.clock.now() + int(query[names.WAIT_PARAMETER])
         era = self.era
@@ -155,13 +161,13 @@
     def _page(self, table: str) -> dict[str, object]:
         rows = [
             row
-            for (known, _), row in sorted(self.rows.items())
-            if known == table and not row.get('gone')
+            for (row_table, _), row in sorted(self.rows.items())
+            if row_table == table and not row.get('gone')
         ]
         return {'rows': rows, 'more': False}
 
     def _changes(self, table: str, since: int) -> dict[str, object]:
-        """Give each change, also those that a later one has overwritten."""
+        """Return all changes of a table, including overwritten ones."""
         rows = [
             row
             for row in self._history
@@ -170,35 +176,40 @@
         return {'rows': rows, 'more': False}
 
     def _transact(self, body: dict[str, list[dict[str, str]]]) -> bool:
+        """Apply a transaction unless an expected version differs."""
         for expected in body.get(names.EXPECTED_FIELD, []):
-            known = self.rows.get(
+            row = self.rows.get(
                 (expected['table'], expected[names.KEY_FIELD]), {}
             )
-            version = 0 if known.get('gone') else known.get('ver', 0)
+            version = 0 if row.get('gone') else row.get('ver', 0)
             if version != expected['ver']:
                 return False
-        for row in body.get(names.REMOVED_FIELD, []):
-            self.delete(row['table'], row[names.KEY_FIELD])
-        for row in body.get('put', []):
-            content = base64.b64decode(row['value'])
-            self.put(row['table'], row[names.KEY_FIELD], content)
+        for removal in body.get(names.REMOVED_FIELD, []):
+            self.delete(removal['table'], removal[names.KEY_FIELD])
+        for write in body.get('put', []):
+            content = base64.b64decode(write['value'])
+            self.put(write['table'], write[names.KEY_FIELD], content)
         return True
 
-    def _store(self, table: str, key: str, part: dict[str, object]) -> None:
+    def _append(self, table: str, key: str, content: dict[str, object]) -> None:
         self.version += 1
-        row = {'table': table, names.KEY_FIELD: key, 'ver': self.version} | part
+        row = {
+            'table': table,
+            names.KEY_FIELD: key,
+            'ver': self.version,
+        } | content
         self.rows[(table, key)] = row
         self._history.append(row)
         self._written_ms.append(self.clock.now())
-        self._wake()
+        self._notify_feeds()
 
-    def _wake(self) -> None:
+    def _notify_feeds(self) -> None:
         self._changed.set()
 
 
 @asynccontextmanager
 async def run_store() -> AsyncIterator[StandInStore]:
-    """Run the stand-in on a free port until the end of the `with`."""
+    """Run a stand-in store on a free port."""
     store = StandInStore()
     async with run_scripted(store.handle) as server:
         store.address = server.address
