--- a/seampond/testing/builders.py
+++ b/seampond/testing/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data; each gives a valid whole with few words."""
+"""Builders of valid test objects."""
 
 import random
 from collections.abc import Callable
@@ -27,34 +27,34 @@
 POOL = 'llm'
 DEADLINE_MS = 10_000
 ROOM_BYTES = 1_000_000
-_NOWHERE = 'http://127.0.0.1:9'
+_UNUSED_URL = 'http://127.0.0.1:9'
 
 
 class FakeLink:
-    """Keeps what was sent; stands in for a connection."""
+    """A link that stores the messages sent over it."""
 
     def __init__(self) -> None:
-        """Start with nothing sent."""
+        """Create an open link."""
         self.sent: list[Message] = []
         self.is_closed = False
         self.peer = 'fake:1'
 
     def send(self, message: Message) -> None:
-        """Keep the message."""
+        """Store a message."""
         self.sent.append(message)
 
     def sent_of(self, kind: type[Message]) -> list[Any]:
-        """Give the messages of one kind."""
+        """Return the sent messages of one type."""
         return [message for message in self.sent if isinstance(message, kind)]
 
 
 def build_promises() -> Promises:
-    """Give promises that count nowhere else."""
+    """Return promises that report broken ones to no metric."""
     return Promises(lambda rule: None)
 
 
 def build_work(request_id: str = 'r1', **changes: Any) -> Work:
-    """Give repeatable work of tier 3 with ten seconds to go."""
+    """Return repeatable work of tier 3, due in ten seconds."""
     content: dict[str, Any] = {
         'id': request_id,
         'workspace': 'front-desk',
@@ -71,12 +71,12 @@
 
 
 def build_ticket(request_id: str = 'r1', **changes: Any) -> Ticket:
-    """Give a waiting ticket."""
+    """Return a waiting ticket."""
     return Ticket(build_work(request_id, **changes))
 
 
 def build_peer(name: str = 'backend-1', pool: str = POOL) -> Peer:
-    """Give a peer that is ready, on a fake link."""
+    """Return a ready peer on a fake link."""
     peer = Peer(Vm(name, 'hall-1', 'backend', '127.0.0.1:9', pool))
     peer.link = FakeLink()  # type: ignore[assignment]
     peer.incarnation = 'incarnation-1'
@@ -89,7 +89,7 @@
     peers: tuple[Peer, ...] = (),
     waiting_max: int = 100,
 ) -> Placement:
-    """Give a placement over `peers` with its own metrics."""
+    """Return a placement over `peers` with metrics of its own."""
     clock = clock or ManualClock()
     promises = build_promises()
     metrics = EntryMetrics()
@@ -109,8 +109,8 @@
 
 
 def build_agent_settings(**backend: Any) -> AgentSettings:
-    """Give agent settings; `backend` changes those of the server."""
-    content = {'url': _NOWHERE, 'pool': POOL, 'kind': 'model', 'slots': 1}
+    """Return agent settings; `backend` overrides those of the server."""
+    content = {'url': _UNUSED_URL, 'pool': POOL, 'kind': 'model', 'slots': 1}
     return AgentSettings(
         name='backend-1',
         hall='hall-1',
@@ -119,32 +119,32 @@
         backend=BackendSettings.model_validate({**content, **backend}),
         links=LinkSettings(secret=SECRET),
         platform=PlatformSettings(
-            tables=_NOWHERE, objects=_NOWHERE, vms=_NOWHERE
+            tables=_UNUSED_URL, objects=_UNUSED_URL, vms=_UNUSED_URL
         ),
     )
 
 
 def build_objects() -> Objects:
-    """Give an object store in memory."""
-    held: dict[str, Any] = {}
+    """Return an in-memory object store."""
+    stored: dict[str, Any] = {}
 
     async def get(key: str) -> Any:
-        return held.get(key)
+        return stored.get(key)
 
     async def put(key: str, content: Any) -> None:
-        held[key] = content
+        stored[key] = content
 
     return Objects(get, put)
 
 
 def build_reserve(request_id: str = 'r1', **changes: Any) -> Reserve:
-    """Give a reservation of tier 3 with ten seconds to go."""
+    """Return a reservation of tier 3, due in ten seconds."""
     content = {'attempt': 1, 'tier': 3, 'remaining_ms': DEADLINE_MS}
     return Reserve(request_id, **{**content, **changes})
 
 
 def build_grant(request_id: str = 'r1', **changes: Any) -> Grant:
-    """Give a grant of repeatable work."""
+    """Return a grant of repeatable work."""
     content: dict[str, Any] = {
         'attempt': 1,
         'remaining_ms': DEADLINE_MS,
@@ -157,7 +157,7 @@
 
 
 def answer_with(*payloads: bytes) -> Callable[[Run], Any]:
-    """Give a backend that answers each run with `payloads` at once."""
+    """Return a backend that answers each run with `payloads` at once."""
 
     async def carry_out(run: Run) -> None:
         run.add_head(200, ())
--- a/seampond/testing/caller.py
+++ b/seampond/testing/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends real requests and checks whose answer came back."""
+"""A test caller that checks that a response belongs to its request."""
 
 import json
 from dataclasses import dataclass, field
@@ -14,20 +14,20 @@
 
 
 class WrongAnswerError(ValueError):
-    """An answer that is not the whole answer to its own request."""
+    """Raised for a response that is incomplete or of another request."""
 
 
 FAILURES = (AiosonicError, OSError, EOFError, ValueError)
 CHAT_PATH = '/v1/chat/completions'
 _ID_HEADER = 'x-request-id'
 _TIMEOUT_SECONDS = 60
-_END = 'data: [DONE]'
+_END_MARK = 'data: [DONE]'
 _SHOWN_BYTES = 200
 
 
 @dataclass(frozen=True)
 class Reply:
-    """Status, headers and body of an answer."""
+    """Status, headers and body of a response."""
 
     status: int
     request_id: str
@@ -37,17 +37,17 @@
 
     @property
     def owner(self) -> str:
-        """The id of the request that was run for this answer."""
+        """The id of the request that was run for this response."""
         return self.original_id or self.request_id
 
     @property
     def is_ok(self) -> bool:
-        """Whether it is an answer and not a refusal."""
+        """Whether the request was answered, not refused."""
         return self.status < HTTPStatus.BAD_REQUEST
 
     @property
     def summary(self) -> str:
-        """What tells a refusal from an answer that was cut."""
+        """Status, request id, size and end of the body, for error messages."""
         request_id = self.request_id or 'unknown'
         end = self.body[-_SHOWN_BYTES:]
         size = len(self.body)
@@ -58,14 +58,14 @@
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a refusal."""
+        """The error object of a refusal."""
         error: dict[str, Any] = json.loads(self.body)['error']
         return error
 
 
 @dataclass(frozen=True)
 class Chat:
-    """The words of a chat completion request."""
+    """The parameters of a chat completion request."""
 
     template: str
     prompt: str = 'hello'
@@ -74,7 +74,7 @@
 
     @property
     def body(self) -> bytes:
-        """The request's JSON."""
+        """The JSON body of the request."""
         content = {
             'model': self.template,
             'messages': [{'role': 'user', 'content': self.prompt}],
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """Calls one entry with one key."""
+    """Sends requests to one entry with one key."""
 
     url: str
     key: str
@@ -94,7 +94,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
     async def post(self, path: str, body: bytes, **headers: str) -> Reply:
-        """Send a request and read the whole answer.
+        """Send a request and read the whole response.
 
         Explanation
         -----------
@@ -139,7 +139,7 @@
         content = json.loads(reply.body)
         text: str = content['choices'][0]['message']['content']
         return text, content['usage']
-    if not reply.body.decode().rstrip().endswith(_END):
+    if not reply.body.decode().rstrip().endswith(_END_MARK):
         raise WrongAnswerError(f'the stream has no end mark: {reply.summary}')
     events = _events(reply.body)
     deltas = [event['choices'][0]['delta'] for event in events]
@@ -148,7 +148,7 @@
 
 
 def check_chat(chat: Chat, reply: Reply) -> dict[str, Any]:
-    """Check that `reply` is the whole answer to its own request.
+    """Check that `reply` is the complete response to its own request.
 
     Returns
     -------
@@ -158,14 +158,14 @@
     Raises
     ------
     WrongAnswerError
-        If it is not.
+        If it is incomplete or answers another request.
 
     """
     text, usage = _text_and_usage(reply, chat.is_stream)
-    wanted = ''.join(
+    expected = ''.join(
         token_text(reply.owner, number) for number in range(chat.max_tokens)
     )
-    if text != wanted:
+    if text != expected:
         raise WrongAnswerError(
             f'not the whole answer to its own request: {reply.summary}'
         )
--- a/seampond/testing/engine/app.py
+++ b/seampond/testing/engine/app.py
@@ -1,4 +1,4 @@
-"""A model engine or a plain service over HTTP."""
+"""The HTTP application of the engine stand-in."""
 
 import asyncio
 import json
@@ -20,8 +20,9 @@
 from seampond.testing.engine.batch import Batch, Sequence
 
 DEFAULT_ANSWER_TOKENS = 32
-_KEPT_STREAMS = 256
-_KEPT_REPORTS = 4096
+_STORED_STREAMS_MAX = 256
+_STORED_REPORTS_MAX = 4096
+_REPORT_INTERVAL_MS = 100
 _METHODS = ('GET', 'POST', 'PUT', 'PATCH', 'DELETE')
 _ID_HEADER = 'x-request-id'
 _FAILING = JSONResponse({'error': 'failing'}, status_code=500)
@@ -29,7 +30,7 @@
 
 
 class EngineFaults(BaseModel):
-    """Faults in force; the counts say for how many answers."""
+    """Active faults; the counts are numbers of responses to affect."""
 
     model_config = ConfigDict(extra='forbid')
 
@@ -41,7 +42,7 @@
 
 @dataclass
 class Engine:
-    """All that the stand-in holds."""
+    """The state of the stand-in."""
 
     settings: EngineStandInSettings
     clock: Clock
@@ -51,11 +52,11 @@
     keys: 'Counter[str]' = field(default_factory=Counter)
     streams: dict[str, list[bytes]] = field(default_factory=dict)
     reports: deque[tuple[int, dict[str, int]]] = field(
-        default_factory=lambda: deque(maxlen=_KEPT_REPORTS)
+        default_factory=lambda: deque(maxlen=_STORED_REPORTS_MAX)
     )
 
     def record_run(self, request: Request) -> str:
-        """Count a run by request id and by idempotency key."""
+        """Count a run by request id and idempotency key; return the id."""
         request_id = request.headers.get(_ID_HEADER, '')
         self.runs[request_id] += 1
         key = request.headers.get('idempotency-key')
@@ -64,20 +65,20 @@
         return request_id
 
     def is_failing(self) -> bool:
-        """Whether this request is one of those that fail."""
+        """Return True if this request must fail, and count it."""
         is_failing = self.faults.failing > 0
         self.faults.failing -= is_failing
         return is_failing
 
     def start_recording_stream(self, request_id: str) -> list[bytes]:
-        """Start keeping the events of a stream, for resuming it."""
-        while len(self.streams) >= _KEPT_STREAMS:
+        """Start storing the events of a stream, to resume it later."""
+        while len(self.streams) >= _STORED_STREAMS_MAX:
             self.streams.pop(next(iter(self.streams)))
         return self.streams.setdefault(request_id, [])
 
 
 def token_text(request_id: str, number: int) -> str:
-    """Give the text of one token; tells whose answer it is.
+    """Return the text of a token, which names its request.
 
     Examples
     --------
@@ -103,7 +104,7 @@
     return f'data: {json.dumps(content)}\n\n'.encode()
 
 
-def _whole(sequence: Sequence, text: str) -> bytes:
+def _completion(sequence: Sequence, text: str) -> bytes:
     message = {'role': 'assistant', 'content': text}
     choice = {'index': 0, 'message': message, 'finish_reason': 'stop'}
     content = {
@@ -117,10 +118,10 @@
     return json.dumps(content).encode()
 
 
-async def _texts(
+async def _generate_tokens(
     engine: Engine, sequence: Sequence
 ) -> AsyncGenerator[str, None]:
-    """Give the tokens as they come; leaving early cancels the sequence."""
+    """Yield tokens as they are produced; closing cancels the sequence."""
     is_short = engine.faults.short > 0
     engine.faults.short -= is_short
     try:
@@ -137,20 +138,20 @@
 async def _answer(
     engine: Engine, sequence: Sequence, is_stream: bool
 ) -> AsyncIterator[bytes]:
-    kept = engine.start_recording_stream(sequence.request_id)
+    events = engine.start_recording_stream(sequence.request_id)
     texts = []
-    async with aclosing(_texts(engine, sequence)) as produced:
-        async for text in produced:
+    async with aclosing(_generate_tokens(engine, sequence)) as tokens:
+        async for text in tokens:
             texts.append(text)
             if is_stream:
-                kept.append(_chunk(sequence, text))
-                yield kept[-1]
+                events.append(_chunk(sequence, text))
+                yield events[-1]
     if not is_stream:
-        yield _whole(sequence, ''.join(texts))
+        yield _completion(sequence, ''.join(texts))
         return
-    kept.append(_chunk(sequence, '', usage=sequence.usage))
-    kept.append(b'data: [DONE]\n\n')
-    for event in kept[-2:]:
+    events.append(_chunk(sequence, '', usage=sequence.usage))
+    events.append(b'data: [DONE]\n\n')
+    for event in events[-2:]:
         yield event
 
 
@@ -182,22 +183,22 @@
         )
 
     async def resume(request: Request) -> Response:
-        kept = engine.streams.get(request.path_params['id'])
-        if kept is None:
+        events = engine.streams.get(request.path_params['id'])
+        if events is None:
             return JSONResponse({'error': 'no such stream'}, status_code=404)
         start = int(request.query_params.get('after', '0'))
-        return Response(b''.join(kept[start:]), media_type=_EVENTS)
+        return Response(b''.join(events[start:]), media_type=_EVENTS)
 
     async def cache_events(request: Request) -> Response:
         after = int(request.query_params.get('after', '0'))
-        horizon = engine.clock.now() - engine.settings.report_lag_ms
-        chance = random.Random(engine.settings.seed)
+        visible_until_ms = engine.clock.now() - engine.settings.report_lag_ms
+        rng = random.Random(engine.settings.seed)
         events = [
             {'number': number, 'block': block}
             for number, (at_ms, block) in enumerate(engine.batch.cache_events)
-            if chance.random() >= engine.settings.event_loss
+            if rng.random() >= engine.settings.event_loss
             and number >= after
-            and at_ms <= horizon
+            and at_ms <= visible_until_ms
         ]
         return JSONResponse(events)
 
@@ -236,9 +237,13 @@
         )
 
     async def show_load(_request: Request) -> Response:
-        horizon = engine.clock.now() - engine.settings.report_lag_ms
-        late = [load for at_ms, load in engine.reports if at_ms <= horizon]
-        return JSONResponse(late[-1] if late else {'running': 0, 'waiting': 0})
+        visible_until_ms = engine.clock.now() - engine.settings.report_lag_ms
+        visible = [
+            load for at_ms, load in engine.reports if at_ms <= visible_until_ms
+        ]
+        return JSONResponse(
+            visible[-1] if visible else {'running': 0, 'waiting': 0}
+        )
 
     async def set_faults(request: Request) -> Response:
         engine.faults = EngineFaults.model_validate_json(await request.body())
@@ -253,13 +258,13 @@
 
 
 def engine_app(engine: Engine) -> Starlette:
-    """Give the web application of the stand-in.
+    """Return the web application of the stand-in.
 
     Explanation
     -----------
-    ``GET /control/runs`` tells its own count of runs by request id and
+    ``GET /control/runs`` returns the number of runs by request id and by
     idempotency key; ``PUT /control/faults`` sets faults; ``GET /load`` and
-    ``GET /cache-events`` tell late, and the latter with gaps.
+    ``GET /cache-events`` lag, and the latter also loses events.
     """
     routes = _control_routes(engine)
     if engine.settings.kind == 'model':
@@ -273,17 +278,17 @@
 async def open_engine(
     settings: EngineStandInSettings, clock: Clock
 ) -> AsyncIterator[Engine]:
-    """Give an engine whose batch runs until the end of the `with`."""
+    """Run an engine and its batch."""
     engine = Engine(settings, clock, Batch(settings, clock))
 
-    async def report() -> None:
+    async def record_load() -> None:
         while True:
             engine.reports.append((clock.now(), engine.batch.load))
-            await clock.sleep(100)
+            await clock.sleep(_REPORT_INTERVAL_MS)
 
     tasks = [
         asyncio.create_task(engine.batch.run()),
-        asyncio.create_task(report()),
+        asyncio.create_task(record_load()),
     ]
     try:
         yield engine
--- a/seampond/testing/engine/batch.py
+++ b/seampond/testing/engine/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: prefill and decode shared by running sequences."""
+"""Continuous batching with prefill and decode phases."""
 
 import asyncio
 import hashlib
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False)
 class Sequence:
-    """One request in the engine."""
+    """A request in the engine."""
 
     request_id: str
     prompt: str
@@ -32,12 +32,12 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Length of the prompt."""
+        """Length of the prompt in tokens."""
         return len(self.prompt) // CHARACTERS_PER_TOKEN + 1
 
     @property
     def usage(self) -> dict[str, Any]:
-        """The usage part of an answer."""
+        """The usage object of a response."""
         return {
             'prompt_tokens': self.prompt_tokens,
             'completion_tokens': self.emitted,
@@ -47,30 +47,30 @@
 
     @property
     def prefill_left(self) -> float:
-        """Prompt tokens still to compute."""
+        """Prompt tokens not computed yet."""
         return self.prompt_tokens - self.cached_tokens - self.computed_tokens
 
 
 class PrefixCache:
-    """Least recently used prompt blocks, by the hash of all up to them."""
+    """LRU cache of prompt blocks, keyed by the hash of their prefix."""
 
     def __init__(self, size_tokens: int) -> None:
-        """Start empty."""
+        """Create an empty cache."""
         self._size = size_tokens // BLOCK_TOKENS
         self._blocks: OrderedDict[bytes, None] = OrderedDict()
 
     def find(self, prompt: str) -> int:
-        """Give how many tokens of the prompt's head are cached."""
-        found = 0
+        """Return the number of cached tokens at the prompt's start."""
+        cached_tokens = 0
         for block in self._hashes(prompt):
             if block not in self._blocks:
                 break
             self._blocks.move_to_end(block)
-            found += BLOCK_TOKENS
-        return found
+            cached_tokens += BLOCK_TOKENS
+        return cached_tokens
 
-    def keep(self, prompt: str) -> list[str]:
-        """Keep the prompt's blocks; give those that are new."""
+    def store(self, prompt: str) -> list[str]:
+        """Store the prompt's blocks; return those that are new."""
         added = []
         for block in self._hashes(prompt):
             if block not in self._blocks:
@@ -84,8 +84,8 @@
     def _hashes(self, prompt: str) -> list[bytes]:
         digest = hashlib.blake2b(digest_size=16)
         hashes = []
-        whole = len(prompt) - len(prompt) % _BLOCK_CHARACTERS
-        for start in range(0, whole, _BLOCK_CHARACTERS):
+        end = len(prompt) - len(prompt) % _BLOCK_CHARACTERS
+        for start in range(0, end, _BLOCK_CHARACTERS):
             digest.update(prompt[start : start + _BLOCK_CHARACTERS].encode())
             hashes.append(digest.digest())
         return hashes
@@ -93,7 +93,7 @@
 
 @dataclass
 class Totals:
-    """What the engine computed, by its own count."""
+    """Counts of tokens and sequences of the engine."""
 
     computed: float = 0
     reused: int = 0
@@ -103,17 +103,16 @@
 
 
 class Batch:
-    """Runs sequences step by step on its clock.
+    """Runs sequences in time steps.
 
     Explanation
     -----------
-    Each step shares the prefill rate among the prompts in order of
-    priority and gives each decoding sequence its tokens; `slowdown`
-    divides both rates.
+    Each step spends the prefill rate on the prompts in order of priority
+    and adds tokens to each decoding sequence; `slowdown` divides both rates.
     """
 
     def __init__(self, settings: EngineStandInSettings, clock: Clock) -> None:
-        """Start with nothing to run."""
+        """Create an empty batch."""
         self._settings = settings
         self._clock = clock
         self._waiting: list[Sequence] = []
@@ -126,7 +125,7 @@
 
     @property
     def load(self) -> dict[str, int]:
-        """Running and waiting sequences now."""
+        """Numbers of running and waiting sequences."""
         return {'running': len(self._running), 'waiting': len(self._waiting)}
 
     def submit(self, sequence: Sequence) -> None:
@@ -136,18 +135,18 @@
         self._wake.set()
 
     def cancel(self, sequence: Sequence) -> None:
-        """Stop a sequence; its prefill was for nothing."""
+        """Cancel a sequence; its prefill counts as wasted."""
         if sequence.is_cancelled:
             return
         sequence.is_cancelled = True
-        for held in (self._waiting, self._running):
-            if sequence in held:
-                held.remove(sequence)
+        for sequences in (self._waiting, self._running):
+            if sequence in sequences:
+                sequences.remove(sequence)
         self.totals.cancelled += 1
         self.totals.wasted += sequence.computed_tokens
 
     async def run(self) -> None:
-        """Step until cancelled."""
+        """Run steps until cancelled."""
         last_ms = self._clock.now()
         while True:
             if not (self._waiting or self._running):
@@ -173,8 +172,8 @@
                 self._decode(sequence, produced)
 
     def _start(self, sequence: Sequence) -> None:
-        found = self.cache.find(sequence.prompt)
-        sequence.cached_tokens = min(found, sequence.prompt_tokens - 1)
+        cached_tokens = self.cache.find(sequence.prompt)
+        sequence.cached_tokens = min(cached_tokens, sequence.prompt_tokens - 1)
         self.totals.reused += sequence.cached_tokens
         self._running.append(sequence)
 
@@ -183,7 +182,7 @@
         sequence.computed_tokens += spent
         self.totals.computed += spent
         if sequence.prefill_left <= 0:
-            added = self.cache.keep(sequence.prompt)
+            added = self.cache.store(sequence.prompt)
             now_ms = self._clock.now()
             self.cache_events.extend((now_ms, block) for block in added)
         return spent
--- a/seampond/testing/known_red.py
+++ b/seampond/testing/known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, and what runs of them show."""
+"""Runs the tests that are listed as known to fail."""
 
 import enum
 import unittest
@@ -9,7 +9,7 @@
 
 @enum.unique
 class Verdict(enum.Enum):
-    """What some runs of one listed test have shown."""
+    """The outcome of several runs of a listed test."""
 
     failing = 'still failing'
     sometimes = 'sometimes failing'
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """How often one test was run and failed."""
+    """The number of runs and of failed runs of a test."""
 
     test_id: str
     runs: int
@@ -27,7 +27,7 @@
 
     @property
     def verdict(self) -> Verdict:
-        """What that shows."""
+        """The verdict from the counts."""
         if not self.runs:
             return Verdict.not_found
         if not self.failed:
@@ -36,7 +36,7 @@
         return Verdict.failing if is_always else Verdict.sometimes
 
     def __str__(self) -> str:
-        """Give the line of the report.
+        """Return the line of the report.
 
         Examples
         --------
@@ -50,7 +50,7 @@
 
 
 def parse_list(text: str) -> Mapping[str, str]:
-    """Read the list: the id of each test and the rest of its line.
+    """Return the rest of each line of the list, by test id.
 
     Examples
     --------
@@ -67,12 +67,12 @@
 def run_listed(
     listed: Iterable[str], tests: Iterable[unittest.TestCase], times: int
 ) -> list[Tally]:
-    """Run each listed test some times.
+    """Run each listed test `times` times.
 
     Parameters
     ----------
     tests : Iterable[unittest.TestCase]
-        All tests that there are.
+        All tests of the project.
 
     """
     by_id = {test.id(): test for test in tests}
@@ -95,6 +95,6 @@
 
 
 def _copy(test: unittest.TestCase) -> unittest.TestCase:
-    """Give a test that has not run yet."""
+    """Return a fresh instance of a test."""
     name = test.id().rpartition('.')[2]
     return type(test)(name)
--- a/seampond/testing/narrow_links.py
+++ b/seampond/testing/narrow_links.py
@@ -1,4 +1,4 @@
-"""A table of a store, read over links that are narrow or cut."""
+"""A simulated store table, read over slow or interrupted links."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,22 +12,22 @@
 )
 from seampond.watches import HistoryGoneError, Page, Row
 
-_STORE_AHEAD_MS = 1_000_000
+_CLOCK_OFFSET_MS = 1_000_000
 _LATENCY_MS = 5
-_LOOK_MS = 10
+_POLL_INTERVAL_MS = 10
 _STEP = 'read'
 
 
 @dataclass
 class SharedTable:
-    """What the store holds, with each version that it still remembers.
+    """The rows of a table and its change history.
 
     Parameters
     ----------
     changes : list[tuple[int, Row]]
-        When each change was made, and the row from then on.
+        Time of each change, and the changed row.
     oldest_version : int
-        The oldest version that a feed still knows.
+        The oldest version from which a change feed can resume.
 
     """
 
@@ -38,14 +38,14 @@
     changes: list[tuple[int, Row]] = field(default_factory=list)
 
     def put(self, key: str, size: int) -> None:
-        """Write a row of so many bytes."""
+        """Write a row of `size` bytes."""
         self.version += 1
         row = Row(key, bytes(size), self.version)
         self.rows[key] = row
         self.changes.append((self.clock.now(), row))
 
     def versions_at(self, at_ms: int) -> dict[str, int]:
-        """Give the version of each row at a moment."""
+        """Return the version of each row at a time."""
         return {
             row.key: row.version
             for changed_ms, row in self.changes
@@ -55,16 +55,16 @@
 
 @dataclass
 class Link:
-    """The way of one process to the store.
+    """The network link from a process to the store.
 
     Parameters
     ----------
     bytes_per_ms : float
-        How fast answers come.
+        Bandwidth of responses.
     is_cut : bool
-        Whether nothing passes.
+        Whether no data passes.
     refuses : bool
-        Whether a cut is told at once, and not by silence.
+        Whether connecting over a cut link fails at once, without a time-out.
 
     """
 
@@ -74,12 +74,12 @@
 
 
 class LinkedSource:
-    """The table as one process reads it."""
+    """The table as read by a process over its link."""
 
     name = 'linked'
 
     def __init__(self, table: SharedTable, link: Link) -> None:
-        """Keep both ends."""
+        """Read `table` over `link`."""
         self._table = table
         self._link = link
         self._clock = table.clock
@@ -87,16 +87,16 @@
     async def read_all(self) -> Page:
         """Read all rows."""
         sent_ms = self._clock.now()
-        await self._reach()
+        await self._connect()
         rows = tuple(self._table.rows.values())
-        return await self._carry(
+        return await self._transfer(
             rows, sent_ms, _TABLE_TIMEOUT_MS, is_snapshot=True
         )
 
     async def read_changes(self, since: int, wait_ms: int) -> Page:
-        """Wait for changes, then read each that was made since."""
+        """Wait for changes, then read all changes after a version."""
         sent_ms = self._clock.now()
-        await self._reach()
+        await self._connect()
         while True:
             if since < self._table.oldest_version:
                 raise HistoryGoneError('gone', step=_STEP)
@@ -105,50 +105,50 @@
             )
             if rows or self._clock.now() >= sent_ms + wait_ms:
                 break
-            await self._clock.sleep(_LOOK_MS)
+            await self._clock.sleep(_POLL_INTERVAL_MS)
             if self._link.is_cut:
-                # No sign comes; the call ends when its time is over.
+                # A cut is not noticed until the call times out.
                 left_ms = sent_ms + wait_ms - self._clock.now()
                 await self._clock.sleep(
                     max(0, left_ms) + _INACTIVITY_TIMEOUT_MS
                 )
                 raise PlatformError('TimeoutError', step=_STEP)
-        return await self._carry(
+        return await self._transfer(
             rows, sent_ms, _CHANGES_TIMEOUT_MS, is_snapshot=False
         )
 
-    async def _reach(self) -> None:
+    async def _connect(self) -> None:
         await self._clock.sleep(_LATENCY_MS)
         if not self._link.is_cut:
             return
         if not self._link.refuses:
             await self._clock.sleep(_INACTIVITY_TIMEOUT_MS)
-        raise PlatformError('no way there', step=_STEP)
+        raise PlatformError('connection refused', step=_STEP)
 
-    async def _carry(
+    async def _transfer(
         self,
         rows: tuple[Row, ...],
         sent_ms: int,
-        most_ms: int,
+        timeout_ms: int,
         *,
         is_snapshot: bool,
     ) -> Page:
-        """Let an answer that is made now come over the link."""
+        """Transfer a response that is built now over the link."""
         version = self._table.version
-        made_ms = self._clock.now()
-        takes_ms = sum(row.size for row in rows) / self._link.bytes_per_ms
-        end_ms = made_ms + min(takes_ms, most_ms)
+        built_ms = self._clock.now()
+        transfer_ms = sum(row.size for row in rows) / self._link.bytes_per_ms
+        end_ms = built_ms + min(transfer_ms, timeout_ms)
         while self._clock.now() < end_ms and not self._link.is_cut:
             left_ms = end_ms - self._clock.now()
-            await self._clock.sleep(min(left_ms, _LOOK_MS))
-        if self._link.is_cut or takes_ms > most_ms:
+            await self._clock.sleep(min(left_ms, _POLL_INTERVAL_MS))
+        if self._link.is_cut or transfer_ms > timeout_ms:
             raise CutAnswerError(
                 'TimeoutError', step=_STEP, peer='', received=1
             )
         return Page(
             rows,
             version,
-            made_ms + _STORE_AHEAD_MS,
+            built_ms + _CLOCK_OFFSET_MS,
             sent_ms,
             self._clock.now(),
             is_snapshot,
--- a/seampond/testing/processes.py
+++ b/seampond/testing/processes.py
@@ -1,4 +1,4 @@
-"""A deployment as separate processes, for tests."""
+"""A deployment in separate processes, for tests."""
 
 import json
 import shutil
@@ -19,10 +19,10 @@
 from seampond.settings.load import load_any
 
 EXAMPLES = Path(__file__).resolve().parent.parent.parent / 'examples'
-_POLL_SECONDS = 0.05
-_POLLS = 600
-_STOP_SECONDS = 60
-_SHOWN_LINES = 12
+_POLL_INTERVAL_S = 0.05
+_POLLS_MAX = 600
+_STOP_TIMEOUT_S = 60
+_TAIL_LINES = 12
 
 PrepareFolder = Callable[[Path], None]
 
@@ -62,32 +62,32 @@
         self.running[name].send_signal(number)
 
     def wait(self, name: str) -> int:
-        """Wait for the end of a process; give its exit status."""
-        return self.running.pop(name).wait(_STOP_SECONDS)
+        """Wait for the end of a process; return its exit status."""
+        return self.running.pop(name).wait(_STOP_TIMEOUT_S)
 
     def address(self, name: str) -> str:
-        """Give the address on which a role listens."""
+        """Return the address on which a role listens."""
         settings: Any = load_any(self.folder / f'{name}.toml')
         listen: str = settings.listen
         return listen
 
     def status_address(self, name: str) -> str:
-        """Give the address of an agent's pages."""
+        """Return the address of an agent's status pages."""
         settings: Any = load_any(self.folder / f'{name}.toml')
         listen: str = settings.status_listen
         return listen
 
     def url(self, name: str) -> str:
-        """Give the HTTP URL of a role."""
+        """Return the HTTP URL of a role."""
         address = self.address(name)
         return f'http://{address}'
 
     def read_page(self, name: str, path: str) -> Any:
-        """Give the JSON of a page, None if it does not answer."""
+        """Return the JSON of a page, None if the role does not answer."""
         return self.read_page_at(self.address(name), path)
 
     def read_page_at(self, address: str, path: str) -> Any:
-        """Give the JSON of a page at an address, None without answer."""
+        """Return the JSON of a page at an address, None without an answer."""
         try:
             with request.urlopen(f'http://{address}{path}') as page:
                 return json.load(page)
@@ -95,12 +95,12 @@
             return None
 
     def check_running(self) -> None:
-        """Check that no process has ended by itself.
+        """Check that no process has exited.
 
         Raises
         ------
         ChildProcessError
-            If one has, with its status and the end of its log.
+            If one has, with its exit status and the end of its log.
 
         """
         for name, process in self.running.items():
@@ -113,7 +113,7 @@
 
     def wait_until_linked(self, entry: str, agents: int) -> None:
         """Wait until an entry is ready and linked to `agents` agents."""
-        for _ in range(_POLLS):
+        for _ in range(_POLLS_MAX):
             status = self.read_page(entry, '/status') or {'agents': []}
             ready = [
                 agent for agent in status['agents'] if agent['state'] == 'ready'
@@ -121,12 +121,12 @@
             if len(ready) == agents and status['ready']:
                 return
             self.check_running()
-            sleep(_POLL_SECONDS)
+            sleep(_POLL_INTERVAL_S)
         raise TimeoutError(f'{entry} did not come up: {status}')
 
     def run_command(self, *words: str) -> Any:
-        """Run an operators' command and give its JSON."""
-        done = subprocess.run(
+        """Run an operator command and return its JSON output."""
+        completed = subprocess.run(
             [
                 sys.executable,
                 '-m',
@@ -139,10 +139,10 @@
             check=True,
             capture_output=True,
         )
-        return json.loads(done.stdout)
+        return json.loads(completed.stdout)
 
     def stop_all(self) -> None:
-        """End every process, by id."""
+        """Kill all processes."""
         for process in self.running.values():
             process.kill()
         for process in self.running.values():
@@ -150,18 +150,18 @@
 
 
 def read_tail(log: Path) -> str:
-    """Give the last lines of a log."""
+    """Return the last lines of a log."""
     lines = log.read_text(encoding='utf-8', errors='replace').splitlines()
-    return '\n'.join(lines[-_SHOWN_LINES:])
+    return '\n'.join(lines[-_TAIL_LINES:])
 
 
 class KeptLogsTestCase(unittest.IsolatedAsyncioTestCase):
-    """A test of processes; their logs stay where it fails.
+    """A test of processes that keeps their logs if it fails.
 
     Attributes
     ----------
     folder : Path
-        For settings and logs.
+        Folder of the settings and logs.
 
     """
 
@@ -172,10 +172,10 @@
     ) -> unittest.TestResult | None:
         """Run the test in a folder that is removed if it passes."""
         outcome = self.defaultTestResult() if outcome is None else outcome
-        before = _count_failed(outcome)
+        failed_before = _count_failed(outcome)
         self.folder = Path(tempfile.mkdtemp(prefix='seampond-'))
         super().run(outcome)
-        if _count_failed(outcome) == before:
+        if _count_failed(outcome) == failed_before:
             shutil.rmtree(self.folder)
         else:
             self._show_logs()
--- a/seampond/testing/rollouts.py
+++ b/seampond/testing/rollouts.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of rollouts."""
+"""Builders for rollout tests."""
 
 from dataclasses import dataclass, field
 from typing import Any
--- a/seampond/testing/tests/test_caller.py
+++ b/seampond/testing/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""What the checks of answers tell when they fail."""
+"""Tests of the error messages of response checks."""
 
 import unittest
 
@@ -8,28 +8,28 @@
 
 
 class CheckChatTest(unittest.TestCase):
-    """Guards against refusals and cut streams that read alike."""
+    """Guards against messages that confuse refusals and cut streams."""
 
     def check_message(self, reply: Reply, *parts: str) -> None:
-        """Check that the error tells what came."""
+        """Check that the error message contains the given parts."""
         with self.assertRaises(WrongAnswerError) as caught:
             check_chat(_CHAT, reply)
         for part in parts:
             self.assertIn(part, str(caught.exception))
 
     def test_refusal(self) -> None:
-        """Status, request and reason are told."""
+        """The message has status, request and reason."""
         body = b'{"error": {"reason": "agent-lost", "run": "maybe"}}'
         self.check_message(
             Reply(502, 'q1', body), 'status 502', 'request q1', 'agent-lost'
         )
 
     def test_empty_answer(self) -> None:
-        """It is told from a stream that was cut."""
+        """The message differs from that of a cut stream."""
         self.check_message(Reply(200, '', b''), 'request unknown', '0 bytes')
 
     def test_stream_that_was_cut(self) -> None:
-        """The end of what came is told."""
+        """The message has the status and size of what was received."""
         self.check_message(
             Reply(200, 'q1', b'data: {"choices": []}\n\n'),
             'no end mark',
--- a/seampond/testing/tests/test_known_red.py
+++ b/seampond/testing/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Running the tests that are known to fail."""
+"""Tests of running the tests that are known to fail."""
 
 import itertools
 import unittest
@@ -9,7 +9,7 @@
 
 
 class _Case(unittest.TestCase):
-    """Stands for the project's tests; not named so that it is collected."""
+    """Stands for the project's tests; its name keeps it uncollected."""
 
     counter = itertools.count()
 
@@ -31,10 +31,10 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Guards against listed tests that the command of their entry skips."""
+    """Guards against listed tests that are skipped or misreported."""
 
     def run_one(self, test: unittest.TestCase) -> Verdict:
-        """Give what running one test shows."""
+        """Run a test and return its verdict."""
         tally = run_listed([test.id()], [test], _TIMES)[0]
         self.assertEqual(tally.runs, _TIMES)
         return tally.verdict
@@ -51,12 +51,12 @@
                 self.assertIs(self.run_one(_Case(name)), verdict)
 
     def test_entry_without_a_test(self) -> None:
-        """It is told, not taken for one that passes."""
+        """It is reported as missing, not as passing."""
         tally = run_listed(['pkg.test_gone'], [], _TIMES)[0]
         self.assertIs(tally.verdict, Verdict.not_found)
 
     def test_commas_in_an_entry(self) -> None:
-        """Only the first ends the id."""
+        """Only the first comma ends the test id."""
         listed = parse_list('pkg.test_it, a, b\n\npkg.test_other, c\n')
         self.assertEqual(
             dict(listed), {'pkg.test_it': 'a, b', 'pkg.test_other': 'c'}
--- a/seampond/testing/tests/test_ports.py
+++ b/seampond/testing/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports chosen by several deployments that start at the same time."""
+"""Tests of port allocation by deployments that start together."""
 
 import random
 import unittest
@@ -12,10 +12,10 @@
 
 
 class FreePortsTest(unittest.TestCase):
-    """Guards against a process whose port another deployment has taken."""
+    """Guards against two deployments that choose the same port."""
 
     def test_two_that_choose_before_either_listens(self) -> None:
-        """They get different ports, also from the same first one."""
+        """They get different ports, even from the same random start."""
         with patch.object(random, 'randrange', return_value=_START):
             chosen = [set(islice(free_ports(), _PORTS)) for _ in range(2)]
         self.assertEqual(chosen[0] & chosen[1], set())
--- a/seampond/testing/virtual_time.py
+++ b/seampond/testing/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop on which waiting takes no time."""
+"""An event loop that runs on virtual time."""
 
 import asyncio
 import selectors
@@ -8,8 +8,8 @@
 from seampond.clock import MS_PER_SECOND, Clock
 
 
-class _SkippingSelector(selectors.DefaultSelector):
-    """A selector that moves the time on instead of waiting."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """A selector that advances virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,27 +22,26 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time runs as far as its timers say, at once.
+    """An event loop whose time jumps to the next timer.
 
     Explanation
     -----------
-    Minutes of timers pass in milliseconds, always in the same order, so a
-    test of time-outs neither waits nor depends on how busy the machine is.
-    Nothing on it may wait for another process or a socket.
+    Tests of time-outs run fast and independently of the machine's load.
+    Nothing on the loop may wait for another process or a socket.
     """
 
     def __init__(self) -> None:
-        """Start at zero."""
-        self._skipping = _SkippingSelector()
-        super().__init__(self._skipping)
+        """Start at time zero."""
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        """Give the virtual time in seconds."""
-        return self._skipping.seconds
+        """Return the virtual time in seconds."""
+        return self._virtual_selector.seconds
 
 
 def run_virtual(work: Callable[[Clock], Awaitable[None]]) -> None:
-    """Run `work` on virtual time; it is handed the clock of it."""
+    """Run `work` on virtual time; it gets the clock of the loop."""
     loop = VirtualLoop()
     clock = Clock(lambda: round(loop.time() * MS_PER_SECOND))
 
