--- a/seampond/callers/tests/test_border.py
+++ b/seampond/callers/tests/test_border.py
@@ -10,11 +10,17 @@
 from seampond.demo.fleet import Fleet
 from seampond.metrics.common import counts_by_labels
 from seampond.requests.refusals import FACTS, Reason
-from seampond.testing.caller import FAILURES, Caller, Chat, Reply, check_chat
+from seampond.testing.caller import (
+    CALL_ERRORS,
+    Caller,
+    ChatRequest,
+    Reply,
+    check_chat,
+)
 from seampond.testing.fleets import open_fleet
 
-ANSWER = Chat('trainer-answer', max_tokens=2)
-DRAFT = Chat('renewal-draft', max_tokens=2)
+ANSWER = ChatRequest('trainer-answer', max_tokens=2)
+DRAFT = ChatRequest('renewal-draft', max_tokens=2)
 
 
 class BorderTest(unittest.IsolatedAsyncioTestCase):
@@ -47,7 +53,9 @@
 
     async def test_streamed_and_whole_answers_arrive(self) -> None:
         for is_stream in (True, False):
-            chat = Chat('trainer-answer', max_tokens=3, is_stream=is_stream)
+            chat = ChatRequest(
+                'trainer-answer', max_tokens=3, is_stream=is_stream
+            )
             reply = await self.caller('trainers').chat(chat)
             self.assertEqual(check_chat(chat, reply)['completion_tokens'], 3)
 
@@ -74,7 +82,7 @@
         self.assertIn('messages', reply.error['message'])
 
     async def test_an_unknown_template_is_refused(self) -> None:
-        reply = await self.caller('trainers').chat(Chat('no-such'))
+        reply = await self.caller('trainers').chat(ChatRequest('no-such'))
         self.assert_refused(reply, Reason.unknown_template)
 
     async def test_a_template_of_another_workspace_is_refused(self) -> None:
@@ -142,9 +150,9 @@
     async def test_a_short_engine_answer_is_an_error(self) -> None:
         for running in self.fleet.engines:
             running.engine.faults.short = 1
-        chat = Chat('trainer-answer', max_tokens=5)
+        chat = ChatRequest('trainer-answer', max_tokens=5)
         # The connection breaks: no clean end, whatever the client checks.
-        with self.assertRaises(FAILURES):
+        with self.assertRaises(CALL_ERRORS):
             await self.caller('trainers').chat(chat)
 
     async def test_another_requests_answer_is_refused(self) -> None:
@@ -172,7 +180,7 @@
         self.assertEqual(outcomes, {'1/failed': 1})
 
     async def test_a_caller_that_leaves_stops_its_run(self) -> None:
-        chat = Chat('trainer-answer', max_tokens=2000)
+        chat = ChatRequest('trainer-answer', max_tokens=2000)
         host, _, port = self.parts.settings.listen.rpartition(':')
         _, writer = await asyncio.open_connection(host, int(port))
         key = self.fleet.keys['trainers']
--- a/seampond/claims/tests/test_answers.py
+++ b/seampond/claims/tests/test_answers.py
@@ -5,11 +5,11 @@
 from seampond.backing.http import open_client
 from seampond.backing.standin.models import Faults
 from seampond.clock import Clock
-from seampond.testing.caller import Caller, Chat, Reply
+from seampond.testing.caller import Caller, ChatRequest, Reply
 from seampond.testing.fleets import open_fleet
 
-DRAFT = Chat('renewal-draft', max_tokens=3)
-OTHER = Chat('renewal-draft', max_tokens=4)
+DRAFT = ChatRequest('renewal-draft', max_tokens=3)
+OTHER = ChatRequest('renewal-draft', max_tokens=4)
 
 
 class KeptAnswerTest(unittest.IsolatedAsyncioTestCase):
@@ -17,7 +17,7 @@
         self.fleet = await self.enterAsyncContext(open_fleet())
         self.client = await self.enterAsyncContext(open_client())
 
-    async def send(self, entry: int, chat: Chat = DRAFT) -> Reply:
+    async def send(self, entry: int, chat: ChatRequest = DRAFT) -> Reply:
         url = self.fleet.entries[entry].url
         caller = Caller(url, self.fleet.keys['renewals'], self.client)
         return await caller.chat(chat, idempotency_key='k1')
--- a/seampond/daemons/tests/test_daemons.py
+++ b/seampond/daemons/tests/test_daemons.py
@@ -8,10 +8,10 @@
 from seampond.errors import PromiseError
 from seampond.metrics.common import counts_by_labels
 from seampond.testing.builders import build_ticket
-from seampond.testing.caller import Caller, Chat, check_chat
+from seampond.testing.caller import Caller, ChatRequest, check_chat
 from seampond.testing.fleets import open_fleet
 
-CHAT = Chat('trainer-answer', max_tokens=30)
+CHAT = ChatRequest('trainer-answer', max_tokens=30)
 SHORT_DRAIN = 'drain_ms = 100\n\n[agent.backend]'
 FOREIGN = (
     b'GET / HTTP/1.1\r\nHost: x\r\n\r\n',
--- a/seampond/daemons/tests/test_processes.py
+++ b/seampond/daemons/tests/test_processes.py
@@ -7,17 +7,17 @@
 from pathlib import Path
 
 from seampond.backing.http import open_client
-from seampond.testing.caller import Caller, Chat, Reply, check_chat
+from seampond.testing.caller import Caller, ChatRequest, Reply, check_chat
 from seampond.testing.processes import (
-    KeptLogsTestCase,
     Processes,
+    ProcessTestCase,
     run_processes,
 )
 
 CALLS = 60
-CHAT = Chat('trainer-answer', max_tokens=40)
+CHAT = ChatRequest('trainer-answer', max_tokens=40)
 # Runs for longer than a lost entry's work is kept.
-LONG = Chat('trainer-answer', max_tokens=300)
+LONG = ChatRequest('trainer-answer', max_tokens=300)
 SHORT_RESUME = '\n[entry.routing]\nresume_ms = 1500\n'
 SHORT_ORPHAN = 'orphan_ms = 1000\n\n[agent.backend]'
 POLL_SECONDS = 0.05
@@ -34,7 +34,7 @@
         path.write_text(text.replace('\n[agent.backend]', SHORT_ORPHAN))
 
 
-class ProcessesTest(KeptLogsTestCase):
+class ProcessesTest(ProcessTestCase):
     def setUp(self) -> None:
         self.processes: Processes = self.enterContext(
             run_processes(self.folder, 'fitlink-kochi', shorten_waits)
@@ -55,7 +55,9 @@
     def caller(self, entry: str) -> Caller:
         return Caller(self.processes.url(entry), self.key, self.client)
 
-    def start_calls(self, first: Chat = CHAT) -> 'list[asyncio.Task[Reply]]':
+    def start_calls(
+        self, first: ChatRequest = CHAT
+    ) -> 'list[asyncio.Task[Reply]]':
         """Send calls to both entries in turn; `first` to entry 1."""
         return [
             asyncio.create_task(
--- a/seampond/demo/load_generator.py
+++ b/seampond/demo/load_generator.py
@@ -11,7 +11,7 @@
 from seampond.demo.fleet import Fleet
 from seampond.demo.traffic import Call
 from seampond.testing.caller import (
-    FAILURES,
+    CALL_ERRORS,
     Caller,
     Reply,
     check_chat,
@@ -59,7 +59,7 @@
         reused = usage['prompt_tokens_details']['cached_tokens']
         tier.computed += usage['prompt_tokens'] - reused
         tier.reused += reused
-    elif json.loads(reply.body)['request_id'] != reply.owner:
+    elif json.loads(reply.body)['request_id'] != reply.executed_id:
         raise ValueError("another request's answer")
 
 
@@ -88,7 +88,7 @@
         try:
             reply = await _send(client, fleet, call)
             _check(call, reply, report)
-        except FAILURES as error:
+        except CALL_ERRORS as error:
             report.violations.append(f'call {call.number}: {error!r}')
             return
         if reply.is_ok:
--- a/seampond/demo/traffic.py
+++ b/seampond/demo/traffic.py
@@ -6,7 +6,7 @@
 
 from seampond.demo.fleet import Fleet
 from seampond.templates.models import Template, Workspace
-from seampond.testing.caller import Chat
+from seampond.testing.caller import ChatRequest
 
 _HISTORY_CHARACTERS = 24_000
 _MEDIUM_CHARACTERS = 2400
@@ -24,7 +24,7 @@
     workspace: str
     template: Template
     tier: int
-    chat: Chat | None = None
+    chat: ChatRequest | None = None
 
     @property
     def key(self) -> str:
@@ -61,7 +61,7 @@
         workspace, template = offers[number % len(offers)]
         chat = None
         if template.kind == 'model':
-            chat = Chat(
+            chat = ChatRequest(
                 template.name,
                 _prompt(workspace, template, rng),
                 rng.randint(4, template.answer_tokens // 2),
--- a/seampond/gateway/tests/test_soak.py
+++ b/seampond/gateway/tests/test_soak.py
@@ -12,7 +12,7 @@
 
 from seampond.testing.gateway_processes import unpack_build
 from seampond.testing.gateway_soak import SoakPlan, run_soak
-from seampond.testing.soak_faults import LATER_FAULTS, LIMIT_FAULTS
+from seampond.testing.soak_faults import LIMIT_FAULTS, SIGNAL_FAULTS
 
 _SEED = 1
 _SECONDS = 6
@@ -35,7 +35,7 @@
 
     def test_promises_hold_with_server_signals(self) -> None:
         """Also with restores of the store."""
-        plan = SoakPlan(_SEED, _LONG_SECONDS, LATER_FAULTS)
+        plan = SoakPlan(_SEED, _LONG_SECONDS, SIGNAL_FAULTS)
         with tempfile.TemporaryDirectory() as folder:
             report = asyncio.run(run_soak(Path(folder), plan))
         self.assertEqual(report.wrong, [])
@@ -57,7 +57,7 @@
                 earlier = unpack_build(_EARLIER, folder / 'earlier')
             except (OSError, subprocess.CalledProcessError):
                 self.skipTest('the history that holds the build is not here')
-            plan = SoakPlan(_SEED, _LONG_SECONDS, LATER_FAULTS, earlier)
+            plan = SoakPlan(_SEED, _LONG_SECONDS, SIGNAL_FAULTS, earlier)
             report = asyncio.run(run_soak(folder, plan))
         self.assertEqual(report.wrong, [])
         self.assertGreaterEqual(report.faults['replaced'], 3)
--- a/seampond/rollouts/tests/test_evidence.py
+++ b/seampond/rollouts/tests/test_evidence.py
@@ -5,7 +5,7 @@
 
 from seampond.rollouts.evidence import Evidence, Verdict
 from seampond.rollouts.models import Tally, TallyKey
-from seampond.testing.rollouts import ROUTE, Answers
+from seampond.testing.rollouts import ROUTE, VersionTallies
 
 _OTHER_ROUTE = 2
 _SEED_COUNT = 300
@@ -78,26 +78,26 @@
     def test_late_failures_are_detected(self) -> None:
         """Guards against early good answers that hide later failures."""
         evidence = Evidence()
-        good = Answers(Tally(1000, 10), Tally(1000, 10))
+        good = VersionTallies(Tally(1000, 10), Tally(1000, 10))
         evidence.apply_counts('a', 1, good.as_tallies())
         self.assertIs(evidence.verdict, Verdict.good)
-        later = Answers(Tally(1020, 10), Tally(1020, 18))
+        later = VersionTallies(Tally(1020, 10), Tally(1020, 18))
         evidence.apply_counts('a', 1, later.as_tallies())
         self.assertIs(evidence.verdict, Verdict.bad)
 
     def test_one_bad_route_rejects_version(self) -> None:
         """Guards against good routes that hide a bad one."""
         evidence = Evidence()
-        first_route = Answers(Tally(900, 9), Tally(300, 3))
+        first_route = VersionTallies(Tally(900, 9), Tally(300, 3))
         evidence.apply_counts('a', 1, first_route.as_tallies())
-        new_bad_share = Answers(Tally(60, 0), Tally(20, 9))
+        new_bad_share = VersionTallies(Tally(60, 0), Tally(20, 9))
         evidence.apply_counts('b', 1, new_bad_share.as_tallies(_OTHER_ROUTE))
         self.assertIs(evidence.verdict, Verdict.bad)
 
     def test_large_route_without_answers_is_unproved(self) -> None:
         """Guards against accepting a version that is untested on a route."""
         evidence = Evidence()
-        first_route = Answers(Tally(900, 9), Tally(300, 3))
+        first_route = VersionTallies(Tally(900, 9), Tally(300, 3))
         evidence.apply_counts('a', 1, first_route.as_tallies())
         evidence.apply_counts(
             'a2', 1, {TallyKey(_OTHER_ROUTE, is_new=False): Tally(200, 0)}
@@ -107,11 +107,11 @@
     def test_repeated_counts_are_added_once(self) -> None:
         """Guards against totals that are added again, also after a restart."""
         evidence = Evidence()
-        first = Answers(Tally(10, 0), Tally(4, 1))
+        first = VersionTallies(Tally(10, 0), Tally(4, 1))
         for _ in range(2):
             evidence.apply_counts('a', 1, first.as_tallies())
         self.assertEqual(evidence.new_answers, Tally(4, 1))
-        second = Answers(Tally(1, 0), Tally(2, 0))
+        second = VersionTallies(Tally(1, 0), Tally(2, 0))
         evidence.apply_counts('a', 2, second.as_tallies())
         self.assertEqual(evidence.new_answers, Tally(6, 1))
 
--- a/seampond/rollouts/tests/test_rollout.py
+++ b/seampond/rollouts/tests/test_rollout.py
@@ -14,14 +14,14 @@
     OLD,
     POOL,
     ROUTE,
-    Answers,
     StubBackend,
+    VersionTallies,
     build_order,
     build_stub_backends,
 )
 
-_GOOD = Answers(Tally(400, 4), Tally(60, 0))
-_BAD = Answers(Tally(400, 4), Tally(20, 12))
+_GOOD = VersionTallies(Tally(400, 4), Tally(60, 0))
+_BAD = VersionTallies(Tally(400, 4), Tally(20, 12))
 
 
 def list_versions(groups: tuple[list[StubBackend], ...]) -> list[set[str]]:
@@ -80,7 +80,7 @@
 
     def test_few_good_answers_are_accepted_late(self) -> None:
         """Guards against a pool with little traffic that is never moved."""
-        few_answers = Answers(Tally(40, 0), Tally(5, 0))
+        few_answers = VersionTallies(Tally(40, 0), Tally(5, 0))
         self.rollout.evidence.apply_counts('a', 1, few_answers.as_tallies())
         self.evaluate(5900)
         self.assertIsNone(self.rollout.proved_ms)
--- a/seampond/slopes/roles.py
+++ b/seampond/slopes/roles.py
@@ -11,7 +11,7 @@
 
 from seampond.backing.http import open_client
 from seampond.slopes.processor import MICROSECONDS, Slope
-from seampond.testing.caller import Caller, Chat, check_chat
+from seampond.testing.caller import Caller, ChatRequest, check_chat
 from seampond.testing.processes import Processes, run_processes
 
 _CPU = re.compile(r'^process_cpu_seconds_total (\S+)$', re.MULTILINE)
@@ -60,7 +60,7 @@
     )
 
 
-async def _send(caller: Caller, chat: Chat, count: int) -> None:
+async def _send(caller: Caller, chat: ChatRequest, count: int) -> None:
     gate = asyncio.Semaphore(_AT_ONCE)
 
     async def one() -> None:
@@ -100,10 +100,10 @@
 async def _measure(processes: Processes, key: str) -> list[Slope]:
     async with open_client(_AT_ONCE) as client:
         caller = Caller(processes.url('entry-1'), key, client)
-        while not (await caller.chat(Chat('trainer-answer'))).is_ok:
+        while not (await caller.chat(ChatRequest('trainer-answer'))).is_ok:
             await asyncio.sleep(1 / _AT_ONCE)
-        few = Chat('trainer-answer', max_tokens=_FEW_TOKENS)
-        many = Chat('trainer-answer', max_tokens=_MANY_TOKENS)
+        few = ChatRequest('trainer-answer', max_tokens=_FEW_TOKENS)
+        many = ChatRequest('trainer-answer', max_tokens=_MANY_TOKENS)
         await _send(caller, few, _STREAMS)
         request = await _measure_unit_cost(
             processes, lambda: _send(caller, few, _REQUESTS), _REQUESTS
--- a/seampond/soak/load_generator.py
+++ b/seampond/soak/load_generator.py
@@ -12,7 +12,7 @@
 from seampond.demo.fleet import Fleet
 from seampond.demo.traffic import Call, make_calls
 from seampond.testing.caller import (
-    FAILURES,
+    CALL_ERRORS,
     Caller,
     Reply,
     WrongAnswerError,
@@ -58,7 +58,7 @@
         self.report.sent += 1
         try:
             reply = await self._send(call, entry)
-        except FAILURES:
+        except CALL_ERRORS:
             self.report.outcomes['broken'] += 1
             return False
         self._note(call, reply)
@@ -89,7 +89,7 @@
         try:
             if call.chat:
                 check_chat(call.chat, reply)
-            elif json.loads(reply.body)['request_id'] != reply.owner:
+            elif json.loads(reply.body)['request_id'] != reply.executed_id:
                 raise WrongAnswerError("another request's answer")
         except WrongAnswerError as error:
             self.report.violations.append(f'call {call.number}: {error}')
--- a/seampond/testing/caller.py
+++ b/seampond/testing/caller.py
@@ -17,7 +17,7 @@
     """Raised for a response that is incomplete or of another request."""
 
 
-FAILURES = (AiosonicError, OSError, EOFError, ValueError)
+CALL_ERRORS = (AiosonicError, OSError, EOFError, ValueError)
 CHAT_PATH = '/v1/chat/completions'
 _ID_HEADER = 'x-request-id'
 _TIMEOUT_SECONDS = 60
@@ -36,8 +36,8 @@
     original_id: str = ''
 
     @property
-    def owner(self) -> str:
-        """The id of the request that was run for this response."""
+    def executed_id(self) -> str:
+        """The id of the request that was executed for this response."""
         return self.original_id or self.request_id
 
     @property
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class Chat:
+class ChatRequest:
     """The parameters of a chat completion request."""
 
     template: str
@@ -99,7 +99,7 @@
         Explanation
         -----------
         Underscores in the names of `headers` become hyphens.  A broken
-        connection raises one of `FAILURES`.
+        connection raises one of `CALL_ERRORS`.
         """
         named = {name.replace('_', '-'): text for name, text in headers.items()}
         response = await self.client.post(
@@ -119,7 +119,7 @@
             response.headers.get(REPLAY_HEADER, ''),
         )
 
-    async def chat(self, chat: Chat, **headers: str) -> Reply:
+    async def chat(self, chat: ChatRequest, **headers: str) -> Reply:
         """Send a chat completion request."""
         return await self.post(CHAT_PATH, chat.body, **headers)
 
@@ -147,7 +147,7 @@
     return text, events[-1]['usage']
 
 
-def check_chat(chat: Chat, reply: Reply) -> dict[str, Any]:
+def check_chat(chat: ChatRequest, reply: Reply) -> dict[str, Any]:
     """Check that `reply` is the complete response to its own request.
 
     Returns
@@ -163,7 +163,8 @@
     """
     text, usage = _text_and_usage(reply, chat.is_stream)
     expected = ''.join(
-        token_text(reply.owner, number) for number in range(chat.max_tokens)
+        token_text(reply.executed_id, number)
+        for number in range(chat.max_tokens)
     )
     if text != expected:
         raise WrongAnswerError(
--- a/seampond/testing/gateway_soak.py
+++ b/seampond/testing/gateway_soak.py
@@ -33,8 +33,8 @@
 from seampond.testing.signalling import SignallingFleet, run_signalling
 from seampond.testing.soak_faults import (
     FAULTS,
-    LATER_FAULTS,
     LIMIT_FAULTS,
+    SIGNAL_FAULTS,
     Fault,
     SoakContext,
     inject_faults,
@@ -43,7 +43,7 @@
 from seampond.testing.store import run_store
 
 _SERVERS = 6
-_CALM_MS = 5000
+_RECOVERY_MS = 5000
 _GRACE_MS = 3000
 _LATE_SENDS_MAX = 3
 _ATTEMPTS_MAX = 2
@@ -116,7 +116,7 @@
         len(fleet.crash_times_ms),
         fleet.count_late_sends(_GRACE_MS),
     )
-    calm_ms = context.until_ms + _CALM_MS + _CALM_MS // 2
+    calm_ms = context.until_ms + _RECOVERY_MS + _RECOVERY_MS // 2
     report.wrong = _find_wrong(fleet, kind, calm_ms, report)
     return report
 
@@ -148,7 +148,7 @@
 ) -> None:
     """Send distinct, repeated and crashing requests during and after faults."""
     fleet = context.fleet
-    total_ms = fault_ms + 2 * _CALM_MS
+    total_ms = fault_ms + 2 * _RECOVERY_MS
 
     async with asyncio.TaskGroup() as group:
         group.create_task(inject_faults(context))
@@ -236,7 +236,7 @@
         help='replace gateways of that build one by one, sometimes back',
     )
     options = parser.parse_args()
-    faults = LATER_FAULTS if options.later else FAULTS
+    faults = SIGNAL_FAULTS if options.later else FAULTS
     if options.limits:
         faults = LIMIT_FAULTS
     with tempfile.TemporaryDirectory() as scratch:
--- a/seampond/testing/processes.py
+++ b/seampond/testing/processes.py
@@ -155,7 +155,7 @@
     return '\n'.join(lines[-_TAIL_LINES:])
 
 
-class KeptLogsTestCase(unittest.IsolatedAsyncioTestCase):
+class ProcessTestCase(unittest.IsolatedAsyncioTestCase):
     """A test of processes that keeps their logs if it fails.
 
     Attributes
--- a/seampond/testing/rollouts.py
+++ b/seampond/testing/rollouts.py
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class Answers:
+class VersionTallies:
     """Tallies of both versions on one route."""
 
     old: Tally = field(default_factory=Tally)
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -170,7 +170,7 @@
 
 # Adds server signals and store restores.  A tuple of its own, since the runs
 # of a seed depend on the faults to choose from.
-LATER_FAULTS: tuple[Fault, ...] = (
+SIGNAL_FAULTS: tuple[Fault, ...] = (
     *FAULTS,
     _leave,
     _leave,
@@ -182,7 +182,7 @@
 
 # Adds server limits, for the same reason in a tuple of its own.
 LIMIT_FAULTS: tuple[Fault, ...] = (
-    *LATER_FAULTS,
+    *SIGNAL_FAULTS,
     _name_limit,
     _name_limit,
     _name_limit,
--- a/seampond/testing/tests/test_caller.py
+++ b/seampond/testing/tests/test_caller.py
@@ -2,9 +2,14 @@
 
 import unittest
 
-from seampond.testing.caller import Chat, Reply, WrongAnswerError, check_chat
-
-_CHAT = Chat('trainer-answer')
+from seampond.testing.caller import (
+    ChatRequest,
+    Reply,
+    WrongAnswerError,
+    check_chat,
+)
+
+_CHAT = ChatRequest('trainer-answer')
 
 
 class CheckChatTest(unittest.TestCase):
