--- a/seampond/operators/__init__.py
+++ b/seampond/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: daemons and operators' commands."""
+"""The command line: commands for daemons and for operators."""
--- a/seampond/operators/base.py
+++ b/seampond/operators/base.py
@@ -1,4 +1,4 @@
-"""What the commands share: settings, JSON, and errors as one line."""
+"""Base classes and common options of the commands."""
 
 import asyncio
 import json
@@ -21,17 +21,17 @@
 
 
 def settings_option() -> Option:
-    """Give the option that names the settings file."""
+    """Return the option that names the settings file."""
     return option('settings', 's', 'The settings file (TOML).', flag=False)
 
 
 def json_option() -> Option:
-    """Give the option for JSON output."""
+    """Return the option for JSON output."""
     return option('json', 'j', 'Print JSON.')
 
 
 def version_option() -> Option:
-    """Give the option for the version that an edit started from."""
+    """Return the option for the row version that an edit is based on."""
     return option(
         'from-version',
         None,
@@ -41,10 +41,14 @@
 
 
 class BaseCommand(Command):
-    """A command whose errors are one line with the cure."""
+    """A command that reports errors as one line on stderr."""
 
     def handle(self) -> int:
-        """Run; 2 for bad settings or arguments, 1 for other failures."""
+        """Run the command and return its exit status.
+
+        The status is 2 for invalid settings or arguments and 1 for any other
+        failure.
+        """
         try:
             return self.run_command()
         except SettingsError as error:
@@ -56,10 +60,10 @@
 
     @abstractmethod
     def run_command(self) -> int:
-        """Do the command's work."""
+        """Run the command and return its exit status."""
 
     def settings_path(self) -> Path:
-        """Give the path of the settings file.
+        """Return the path of the settings file.
 
         Raises
         ------
@@ -75,16 +79,16 @@
         return Path(path)
 
     def print_output(self, content: Any, text: str) -> int:
-        """Print JSON or text, as asked."""
+        """Print `content` as JSON if requested, otherwise `text`."""
         self.line(json.dumps(content) if self.option('json') else text)
         return EXIT_OK
 
 
 class OperatorCommand(BaseCommand):
-    """A command that talks to the table service."""
+    """A command that reads or edits tables of the table service."""
 
     def run_command(self) -> int:
-        """Open the table service and go on with :meth:`run_with_editor`."""
+        """Open the table service and call :meth:`run_with_editor`."""
         settings = load_settings(self.settings_path(), OperatorSettings)
         return asyncio.run(self._open_and_run(settings))
 
@@ -92,15 +96,15 @@
     async def run_with_editor(
         self, editor: Editor, settings: OperatorSettings
     ) -> int:
-        """Do the command's work."""
+        """Run the command with access to the table service."""
 
     def parse_from_version(self) -> int | None:
-        """Give the version that the edit started from, if it was named.
+        """Return the row version that the edit is based on, if given.
 
         Raises
         ------
         SettingsError
-            If it is not a number.
+            If the option is not a number.
 
         """
         text = self.option('from-version')
@@ -113,7 +117,7 @@
         return int(text)
 
     def print_generation(self, generation: int) -> int:
-        """Print the generation that an edit made."""
+        """Print the configuration generation created by an edit."""
         return self.print_output(
             {'generation': generation}, f'accepted as generation {generation}'
         )
--- a/seampond/operators/daemon_commands.py
+++ b/seampond/operators/daemon_commands.py
@@ -1,4 +1,4 @@
-"""The daemons' commands."""
+"""Commands that run the daemons."""
 
 import asyncio
 from contextlib import closing
@@ -21,19 +21,21 @@
 
 
 class DaemonCommand(BaseCommand):
-    """A command that runs one role."""
+    """A command that runs one daemon until it is stopped."""
 
     options = [settings_option()]
     model: type[AnySettings]
     run_role: ClassVar[Run]
 
     def run_command(self) -> int:
-        """Load the settings and run."""
-        read = partial(load_settings, self.settings_path(), self.model)
-        settings: Any = read()
+        """Load the settings and run the daemon."""
+        reload_settings = partial(
+            load_settings, self.settings_path(), self.model
+        )
+        settings: Any = reload_settings()
         with closing(set_up_logs(settings.logs.level)):
-            role = type(self).run_role
-            asyncio.run(run_daemon(role, settings, read))
+            run = type(self).run_role
+            asyncio.run(run_daemon(run, settings, reload_settings))
         return EXIT_OK
 
 
--- a/seampond/operators/edits.py
+++ b/seampond/operators/edits.py
@@ -1,4 +1,4 @@
-"""What operators do to templates and workspaces, through the table service."""
+"""Edits of templates and workspaces through the table service."""
 
 from collections.abc import AsyncIterator, Iterable
 from contextlib import asynccontextmanager
@@ -18,14 +18,14 @@
 from seampond.templates.keys import make_key
 from seampond.templates.models import Template, Workspace
 
-_PAGE_ROWS = 500
-_TRUE_WORDS = ('true', 'yes')
-_FALSE_WORDS = ('false', 'no')
+_ROWS_PER_PAGE = 500
+_TRUE_TEXTS = ('true', 'yes')
+_FALSE_TEXTS = ('false', 'no')
 
 
 @dataclass(frozen=True)
 class Editor:
-    """An operator with access to the table service."""
+    """Access to the table service on behalf of one author."""
 
     tables: Tables
     clock: Clock
@@ -34,20 +34,20 @@
 
 @asynccontextmanager
 async def open_editor(settings: OperatorSettings) -> AsyncIterator[Editor]:
-    """Give an editor until the end of the `with`."""
+    """Open an HTTP client and yield an editor that uses it."""
     async with open_client() as client:
         platform = settings.platform
         caller = Caller(platform.tables, client, platform.timeout_ms)
         yield Editor(http_tables(caller), Clock(), settings.author)
 
 
-def parse_fields(words: Iterable[str]) -> dict[str, Any]:
-    """Read ``field=value`` words.
+def parse_fields(arguments: Iterable[str]) -> dict[str, Any]:
+    """Parse ``field=value`` arguments.
 
     Raises
     ------
     SettingsError
-        If a word has no equals sign.
+        If an argument has no equals sign.
 
     Examples
     --------
@@ -56,20 +56,20 @@
 
     """
     fields: dict[str, Any] = {}
-    for word in words:
-        name, equals, text = word.partition('=')
+    for argument in arguments:
+        name, equals, text = argument.partition('=')
         if not equals:
             raise SettingsError(
-                f'{word!r}: write it as field=value', step='arguments'
+                f'{argument!r}: write it as field=value', step='arguments'
             )
-        fields[name] = _parse_word(text)
+        fields[name] = _parse_value(text)
     return fields
 
 
-def _parse_word(text: str) -> str | bool:
-    if text in _TRUE_WORDS:
+def _parse_value(text: str) -> str | bool:
+    if text in _TRUE_TEXTS:
         return True
-    if text in _FALSE_WORDS:
+    if text in _FALSE_TEXTS:
         return False
     return text
 
@@ -90,24 +90,24 @@
 
 
 async def list_rows(editor: Editor, table: str) -> list[Row]:
-    """Give all rows of a table, by key."""
+    """Return all rows of a table, ordered by key."""
     rows: list[Row] = []
     start = ''
     while True:
-        page = await editor.tables.scan(table, start, LAST_KEY, _PAGE_ROWS)
+        page = await editor.tables.scan(table, start, LAST_KEY, _ROWS_PER_PAGE)
         rows.extend(page)
-        if len(page) < _PAGE_ROWS:
+        if len(page) < _ROWS_PER_PAGE:
             return rows
         start = ''.join((page[-1].key, '\0'))
 
 
 async def read_row(editor: Editor, table: str, key: str) -> Row:
-    """Give one row.
+    """Return one row.
 
     Raises
     ------
     SettingsError
-        If there is none.
+        If the row does not exist.
 
     """
     row = await editor.tables.read(table, key)
@@ -120,34 +120,34 @@
     editor: Editor, table: str, row: Row | None, key: str,
     content: dict[str, Any] | None, version: int | None,
 ) -> int:  # fmt: skip
-    found = row.version if row else 0
-    base = found if version is None else version
-    edit = Edit(table, key, base, content, editor.author)
+    current_version = row.version if row else 0
+    base_version = current_version if version is None else version
+    edit = Edit(table, key, base_version, content, editor.author)
     return await commit_edit(editor.tables, editor.clock, edit)
 
 
 async def set_template(
     editor: Editor, name: str, fields: dict[str, Any], version: int | None
 ) -> int:
-    """Create or change a template; give the generation.
+    """Create or change a template and return the new generation.
 
     Parameters
     ----------
     version : int | None
-        The row's version that the operator started from; None takes the
-        one read just now.
+        The row version that the edit is based on; None means the current
+        one.
 
     """
     row = await editor.tables.read(TEMPLATES, name)
     content = {**(row.content if row else {'name': name}), **fields}
-    checked = _validate(Template, content)
-    return await _commit(editor, TEMPLATES, row, name, checked, version)
+    validated = _validate(Template, content)
+    return await _commit(editor, TEMPLATES, row, name, validated, version)
 
 
 async def delete_template(
     editor: Editor, name: str, version: int | None
 ) -> int:
-    """Delete a template; give the generation."""
+    """Delete a template and return the new generation."""
     row = await read_row(editor, TEMPLATES, name)
     return await _commit(editor, TEMPLATES, row, name, None, version)
 
@@ -159,35 +159,42 @@
     fields: dict[str, Any],
     version: int | None,
 ) -> int:
-    """Set a workspace's parameters for one template; give the generation."""
+    """Set a workspace's parameters for one template.
+
+    Returns
+    -------
+    int
+        The new generation.
+
+    """
     await read_row(editor, TEMPLATES, template)
     row = await editor.tables.read(WORKSPACES, name)
     content: dict[str, Any] = {'name': name, 'parameters': {}}
     if row:
         content.update(row.content)
-    old = content['parameters'].get(template, {})
+    old_parameters = content['parameters'].get(template, {})
     content['parameters'] = {
         **content['parameters'],
-        template: {**old, **fields},
+        template: {**old_parameters, **fields},
     }
-    checked = _validate(Workspace, content)
-    return await _commit(editor, WORKSPACES, row, name, checked, version)
+    validated = _validate(Workspace, content)
+    return await _commit(editor, WORKSPACES, row, name, validated, version)
 
 
 @dataclass(frozen=True, slots=True)
 class CreatedKey:
-    """A new key and the generation that holds its hash."""
+    """A new key and the generation that contains its hash."""
 
     key: str
     generation: int
 
 
 async def add_key(editor: Editor, name: str, *, revoke: bool) -> CreatedKey:
-    """Make a key for a workspace; `revoke` ends all earlier ones."""
+    """Create a key for a workspace; `revoke` drops all earlier ones."""
     row = await read_row(editor, WORKSPACES, name)
-    made = make_key(name)
-    kept = [] if revoke else row.content['key_hashes']
-    content = {**row.content, 'key_hashes': [*kept, made.key_hash]}
-    checked = _validate(Workspace, content)
-    generation = await _commit(editor, WORKSPACES, row, name, checked, None)
-    return CreatedKey(made.key, generation)
+    created = make_key(name)
+    kept_hashes = [] if revoke else row.content['key_hashes']
+    content = {**row.content, 'key_hashes': [*kept_hashes, created.key_hash]}
+    validated = _validate(Workspace, content)
+    generation = await _commit(editor, WORKSPACES, row, name, validated, None)
+    return CreatedKey(created.key, generation)
--- a/seampond/operators/explain.py
+++ b/seampond/operators/explain.py
@@ -1,4 +1,4 @@
-"""`seampond explain`: one request, from the logs of several processes."""
+"""The `seampond explain` command: one request in the logs of gateways."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -13,7 +13,7 @@
 from seampond.errors import SeampondError
 from seampond.operators.base import EXIT_OK, BaseCommand, json_option
 
-_CONTEXT_SECONDS = 3.0
+_CONTEXT_SPAN_S = 3.0
 _TIME_FORMAT = '%Y-%m-%d %H:%M:%S,%f'
 _REQUEST_OVER_EVENT = 'request over'
 _STATE_EVENTS = frozenset(
@@ -29,7 +29,7 @@
         'store call failed',
     )
 )
-_OMITTED = frozenset(
+_OMITTED_FIELDS = frozenset(
     ('time', 'level', 'logger', 'event', 'process', 'request', 'tried')
 )
 _OUTCOME_MEANINGS = MappingProxyType(
@@ -54,12 +54,23 @@
 
 
 class RequestNotFoundError(SeampondError):
-    """No log file has a line of the request."""
+    """No log file contains a line of the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a log; `seconds` is its process's time of day."""
+    """One line of a log.
+
+    Attributes
+    ----------
+    process : str
+        The process that wrote the line.
+    seconds : float
+        POSIX timestamp by the clock of that process.
+    fields : dict[str, Any]
+        The fields of the JSON object.
+
+    """
 
     process: str
     seconds: float
@@ -67,25 +78,27 @@
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """The name of the logged event."""
         return str(self.fields.get('event', ''))
 
 
 def _parse_line(text: str, source: str) -> LogLine | None:
-    # What stands before the object is the collector's own prefix.
+    # A log collector may prefix the JSON object with text of its own.
     start = text.find('{')
     if start < 0:
         return None
     try:
         fields = json.loads(text[start:])
-        at = datetime.strptime(fields['time'], _TIME_FORMAT)
+        written_at = datetime.strptime(fields['time'], _TIME_FORMAT)
     except (ValueError, KeyError, TypeError):
         return None
-    return LogLine(fields.get('process') or source, at.timestamp(), fields)
+    return LogLine(
+        fields.get('process') or source, written_at.timestamp(), fields
+    )
 
 
 def read_lines(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Give the lines of log files; what is no line of ours is passed over.
+    """Yield the parsed lines of log files; skip all other lines.
 
     Raises
     ------
@@ -95,90 +108,98 @@
     """
     for path in paths:
         try:
-            texts = path.read_text(encoding='utf-8', errors='replace')
+            log_text = path.read_text(encoding='utf-8', errors='replace')
         except OSError as error:
             raise SeampondError(
                 f'{path}: cannot be read: {error.strerror}', step='explain'
             ) from error
-        for text in texts.splitlines():
+        for text in log_text.splitlines():
             line = _parse_line(text, path.stem)
             if line is not None:
                 yield line
 
 
-def _precedes_decision(line: LogLine, over: LogLine) -> bool:
-    if line.process != over.process or line.event not in _STATE_EVENTS:
+def _precedes_decision(line: LogLine, decision: LogLine) -> bool:
+    if line.process != decision.process or line.event not in _STATE_EVENTS:
         return False
-    return 0 <= over.seconds - line.seconds <= _CONTEXT_SECONDS
+    return 0 <= decision.seconds - line.seconds <= _CONTEXT_SPAN_S
 
 
 def select_lines(request: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Give the lines of a request, and what its processes believed before.
+    """Return the lines of a request and the state events shortly before it.
 
     Raises
     ------
     NoLineError
-        If there is none.
+        If no line belongs to the request.
 
     """
-    known = list(lines)
-    own = [line for line in known if line.fields.get('request') == request]
-    if not own:
+    all_lines = list(lines)
+    request_lines = [
+        line for line in all_lines if line.fields.get('request') == request
+    ]
+    if not request_lines:
         raise RequestNotFoundError(
             f'no line of request {request!r}; name the logs of all gateways',
             step='explain',
         )
-    ends = [line for line in own if line.event == _REQUEST_OVER_EVENT] or own
+    decisions = [
+        line for line in request_lines if line.event == _REQUEST_OVER_EVENT
+    ] or request_lines
     context = [
         line
-        for line in known
-        if any(_precedes_decision(line, end) for end in ends)
+        for line in all_lines
+        if any(_precedes_decision(line, decision) for decision in decisions)
     ]
-    chosen = own + context
-    return sorted(chosen, key=lambda line: line.seconds)
+    selected = request_lines + context
+    return sorted(selected, key=lambda line: line.seconds)
 
 
 def _format_line(line: LogLine) -> str:
     details = ', '.join(
         f'{name} {text}'
         for name, text in line.fields.items()
-        if name not in _OMITTED and text not in (None, '')
+        if name not in _OMITTED_FIELDS and text not in (None, '')
     )
-    moment = str(line.fields['time']).partition(' ')[2]
-    return f'{moment} {line.process}: {line.event} ({details})'
+    time_of_day = str(line.fields['time']).partition(' ')[2]
+    return f'{time_of_day} {line.process}: {line.event} ({details})'
 
 
-def _format_attempt(one: dict[str, Any]) -> str:
+def _format_attempt(attempt: dict[str, Any]) -> str:
     text = (
         'sent to {server}: thought to hold {load}, pace {pace}, first byte '
         'expected after {expected_ms} ms'
-    ).format_map(one)
-    came = one['first_ms']
-    first = f'came after {came} ms' if came >= 0 else 'never came'
-    return f'    {text}, {first}; {one["outcome"]}'
+    ).format_map(attempt)
+    first_ms = attempt['first_ms']
+    arrival = f'came after {first_ms} ms' if first_ms >= 0 else 'never came'
+    return f'    {text}, {arrival}; {attempt["outcome"]}'
 
 
 def explain_lines(lines: Iterable[LogLine]) -> list[str]:
-    """Give the story of a request, the deciding step last.
+    """Return the course of a request as text, the deciding step last.
 
     Parameters
     ----------
     lines : Iterable[LogLine]
-        What :func:`select_lines` gave.
+        The lines that :func:`select_lines` returned.
 
     """
-    story: list[str] = []
+    report_lines: list[str] = []
     for line in lines:
-        story.append(_format_line(line))
+        report_lines.append(_format_line(line))
         if line.event != _REQUEST_OVER_EVENT:
             continue
-        story.extend(_format_attempt(one) for one in line.fields['tried'])
+        report_lines.extend(
+            _format_attempt(attempt) for attempt in line.fields['tried']
+        )
         outcome = str(line.fields['outcome']).removeprefix('cut: ')
         meaning = _OUTCOME_MEANINGS.get(
             outcome, 'see the cause in OPERATORS.md'
         )
-        story.append(f'  decided at {line.process}: {outcome}: {meaning}')
-    return story
+        report_lines.append(
+            f'  decided at {line.process}: {outcome}: {meaning}'
+        )
+    return report_lines
 
 
 class ExplainCommand(BaseCommand):
@@ -193,12 +214,12 @@
     options = [json_option()]
 
     def run_command(self) -> int:
-        """Print the lines in order and what decided."""
+        """Print the lines in order of time and the decision."""
         paths = [Path(name) for name in self.argument('files')]
         lines = select_lines(self.argument('request'), read_lines(paths))
-        story = explain_lines(lines)
+        report_lines = explain_lines(lines)
         if self.option('json'):
             self.line(json.dumps([line.fields for line in lines]))
         else:
-            self.line('\n'.join(story))
+            self.line('\n'.join(report_lines))
         return EXIT_OK
--- a/seampond/operators/main.py
+++ b/seampond/operators/main.py
@@ -26,7 +26,7 @@
 )
 from seampond.operators.status_commands import CheckCommand, StatusCommand
 
-_HELP_CALLS: tuple[list[str], ...] = ([], ['--help'], ['-h'])
+_HELP_ARGUMENTS: tuple[list[str], ...] = ([], ['--help'], ['-h'])
 COMMANDS = (
     EntryCommand,
     GatewayCommand,
@@ -48,7 +48,7 @@
 
 
 def make_application() -> Application:
-    """Give the application with all commands."""
+    """Return the application with all commands."""
     application = Application('seampond', version('seampond'))
     for command in COMMANDS:
         application.add(command())
@@ -56,9 +56,9 @@
 
 
 def main() -> None:
-    """Run the command line; alone or with --help it lists the commands."""
-    words = sys.argv[1:]
-    if words in _HELP_CALLS:
-        words = ['list']
-    arguments = ArgvInput([sys.argv[0], *words])
-    sys.exit(make_application().run(arguments))
+    """Run the command line; list the commands if none is named."""
+    arguments = sys.argv[1:]
+    if arguments in _HELP_ARGUMENTS:
+        arguments = ['list']
+    argv_input = ArgvInput([sys.argv[0], *arguments])
+    sys.exit(make_application().run(argv_input))
--- a/seampond/operators/row_commands.py
+++ b/seampond/operators/row_commands.py
@@ -1,4 +1,4 @@
-"""`seampond template …` and `seampond workspace …`."""
+"""The `seampond template` and `seampond workspace` commands."""
 
 import json
 
@@ -25,7 +25,7 @@
 
 
 class ListCommand(OperatorCommand):
-    """Lists the rows of one table."""
+    """Base of commands that list the rows of one table."""
 
     options = [settings_option(), json_option()]
     table_name = ''
@@ -33,7 +33,7 @@
     async def run_with_editor(
         self, editor: Editor, settings: OperatorSettings
     ) -> int:
-        """Print a line a row."""
+        """Print one line per row."""
         rows = await list_rows(editor, self.table_name)
         content = [{'version': row.version, **row.content} for row in rows]
         names = '\n'.join(f'{row.key}  (version {row.version})' for row in rows)
@@ -41,7 +41,7 @@
 
 
 class ShowCommand(OperatorCommand):
-    """Shows one row with its version."""
+    """Base of commands that show one row with its version."""
 
     arguments = [argument('name', 'Its name.')]
     options = [settings_option(), json_option()]
@@ -171,9 +171,9 @@
     async def run_with_editor(
         self, editor: Editor, settings: OperatorSettings
     ) -> int:
-        """Commit the edit and print the key."""
-        made = await add_key(
+        """Create the key and print it."""
+        created = await add_key(
             editor, self.argument('name'), revoke=self.option('revoke')
         )
-        content = {'key': made.key, 'generation': made.generation}
-        return self.print_output(content, made.key)
+        content = {'key': created.key, 'generation': created.generation}
+        return self.print_output(content, created.key)
--- a/seampond/operators/status.py
+++ b/seampond/operators/status.py
@@ -1,4 +1,4 @@
-"""What all entries say of themselves and their agents."""
+"""Status of all entries and their agents."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class FleetStatus:
-    """The newest accepted generation and each entry's word."""
+    """The newest accepted generation and the status of each entry."""
 
     generation: int
     entries: list[dict[str, Any]]
     unreachable: list[str]
 
     def as_json(self) -> dict[str, Any]:
-        """Give it as JSON."""
+        """Return the status as a dict for JSON output."""
         return {
             'generation': self.generation,
             'entries': self.entries,
@@ -32,18 +32,18 @@
 async def read_status(
     editor: Editor, settings: OperatorSettings
 ) -> FleetStatus:
-    """Ask every entry on the VM list.
+    """Request the status of every entry on the VM list.
 
     Raises
     ------
     PlatformError
-        If the table service or the VM list does not answer.
+        If the table service or the VM list does not respond.
 
     """
     platform = settings.platform
     async with open_client() as client:
 
-        async def ask(vm: Vm) -> dict[str, Any] | None:
+        async def fetch_status(vm: Vm) -> dict[str, Any] | None:
             caller = Caller(f'http://{vm.address}', client, platform.timeout_ms)
             try:
                 reply = await caller.ask('/status')
@@ -54,12 +54,12 @@
 
         list_vms = http_vms(Caller(platform.vms, client, platform.timeout_ms))
         entries = [vm for vm in await list_vms() if vm.role == ENTRY_ROLE]
-        answers = await asyncio.gather(*map(ask, entries))
+        statuses = await asyncio.gather(*map(fetch_status, entries))
     generation = await read_generation(editor.tables)
-    answered = [answer for answer in answers if answer]
+    answered = [status for status in statuses if status]
     unreachable = [
         vm.name
-        for vm, answer in zip(entries, answers, strict=True)
-        if not answer
+        for vm, status in zip(entries, statuses, strict=True)
+        if not status
     ]
     return FleetStatus(generation, answered, unreachable)
--- a/seampond/operators/status_commands.py
+++ b/seampond/operators/status_commands.py
@@ -1,4 +1,4 @@
-"""`seampond status` and `seampond check`."""
+"""The `seampond status` and `seampond check` commands."""
 
 from pathlib import Path
 from typing import Any
@@ -18,7 +18,7 @@
 from seampond.settings.models import OperatorSettings
 
 
-def _entry_lines(entry: dict[str, Any]) -> list[str]:
+def _format_entry(entry: dict[str, Any]) -> list[str]:
     state = 'ready' if entry['ready'] else 'not ready'
     if entry['draining']:
         state = 'draining'
@@ -35,13 +35,13 @@
 
 
 def format_status(status: FleetStatus) -> str:
-    """Give the status as text, a line an entry and an agent."""
+    """Return the status as text, one line per entry and per agent."""
     lines = [f'newest generation {status.generation}']
     for entry in status.entries:
-        lines.extend(_entry_lines(entry))
-        refused = entry['refusals']
-        if refused:
-            lines.append(f'  refusals: {refused}')
+        lines.extend(_format_entry(entry))
+        refusals = entry['refusals']
+        if refusals:
+            lines.append(f'  refusals: {refusals}')
     lines.extend(f'{name}: does not answer' for name in status.unreachable)
     return '\n'.join(lines)
 
@@ -56,7 +56,7 @@
     async def run_with_editor(
         self, editor: Editor, settings: OperatorSettings
     ) -> int:
-        """Print what the entries say."""
+        """Print the status pages of all entries."""
         status = await read_status(editor, settings)
         return self.print_output(status.as_json(), format_status(status))
 
@@ -69,7 +69,7 @@
     arguments = [argument('file', 'The settings file.')]
 
     def run_command(self) -> int:
-        """Load the file."""
+        """Load the file and print the kind of its settings."""
         path = Path(self.argument('file'))
         settings = load_any(path)
         kind = type(settings).__name__
--- a/seampond/operators/tests/test_commands.py
+++ b/seampond/operators/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands, against the platform's stand-in."""
+"""Tests of the operators' commands against a stand-in platform."""
 
 import json
 import tempfile
@@ -17,7 +17,7 @@
 
 
 @contextmanager
-def platform_only() -> Iterator[Processes]:
+def run_platform() -> Iterator[Processes]:
     with tempfile.TemporaryDirectory() as scratch:
         folder = Path(scratch)
         copy_with_free_ports(EXAMPLES / 'blue-mahoe', folder)
@@ -33,57 +33,59 @@
 
 class CommandsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.processes = self.enterContext(platform_only())
+        self.processes = self.enterContext(run_platform())
         self.tester = ApplicationTester(make_application())
 
-    def run_command(self, words: str) -> int:
+    def run_command(self, arguments: str) -> int:
         path = self.processes.folder / 'operator.toml'
-        return self.tester.execute(f'{words} --settings {path}')
+        return self.tester.execute(f'{arguments} --settings {path}')
 
-    def json_of(self, words: str) -> Any:
-        self.assertEqual(self.run_command(f'{words} --json'), 0)
+    def run_json(self, arguments: str) -> Any:
+        self.assertEqual(self.run_command(f'{arguments} --json'), 0)
         return json.loads(self.tester.io.fetch_output())
 
-    def test_templates_are_listed_shown_set_and_deleted(self) -> None:
-        listed = self.json_of('template list')
-        self.assertIn('form-tag', [row['name'] for row in listed])
-        self.json_of('template set form-tag deadline_ms=1234')
-        shown = self.json_of('template show form-tag')
-        self.assertEqual(shown['deadline_ms'], 1234)
-        self.json_of('template delete form-tag')
+    def test_templates_are_listed_shown_changed_and_deleted(self) -> None:
+        templates = self.run_json('template list')
+        self.assertIn('form-tag', [row['name'] for row in templates])
+        self.run_json('template set form-tag deadline_ms=1234')
+        row = self.run_json('template show form-tag')
+        self.assertEqual(row['deadline_ms'], 1234)
+        self.run_json('template delete form-tag')
         self.assertEqual(self.run_command('template show form-tag'), 2)
 
-    def test_an_edit_from_an_old_version_loses(self) -> None:
-        old = self.json_of('template show form-tag')['version']
-        self.json_of('template set form-tag deadline_ms=1234')
-        words = f'template set form-tag deadline_ms=9 --from-version {old}'
-        self.assertEqual(self.run_command(words), 1)
+    def test_edit_based_on_stale_version_is_rejected(self) -> None:
+        version = self.run_json('template show form-tag')['version']
+        self.run_json('template set form-tag deadline_ms=1234')
+        arguments = (
+            f'template set form-tag deadline_ms=9 --from-version {version}'
+        )
+        self.assertEqual(self.run_command(arguments), 1)
         self.assertIn('you started from', self.tester.io.fetch_error())
-        shown = self.json_of('template show form-tag')
-        self.assertEqual(shown['deadline_ms'], 1234)
+        row = self.run_json('template show form-tag')
+        self.assertEqual(row['deadline_ms'], 1234)
 
-    def test_a_bad_value_is_refused_with_its_field(self) -> None:
-        words = 'workspace set records form-tag tier=9'
-        self.assertEqual(self.run_command(words), 2)
+    def test_invalid_value_is_rejected_with_field_name(self) -> None:
+        arguments = 'workspace set records form-tag tier=9'
+        self.assertEqual(self.run_command(arguments), 2)
         self.assertIn('tier', self.tester.io.fetch_error())
 
-    def test_a_key_is_kept_only_as_a_hash(self) -> None:
-        key = self.json_of('workspace key records')['key']
-        shown = self.json_of('workspace show records')
-        self.assertEqual(len(shown['key_hashes']), 1)
-        self.assertNotIn(key, json.dumps(shown))
-        self.json_of('workspace key records --revoke')
-        again = self.json_of('workspace show records')
-        self.assertNotEqual(again['key_hashes'], shown['key_hashes'])
+    def test_key_is_stored_only_as_hash(self) -> None:
+        key = self.run_json('workspace key records')['key']
+        row = self.run_json('workspace show records')
+        self.assertEqual(len(row['key_hashes']), 1)
+        self.assertNotIn(key, json.dumps(row))
+        self.run_json('workspace key records --revoke')
+        updated = self.run_json('workspace show records')
+        self.assertNotEqual(updated['key_hashes'], row['key_hashes'])
 
-    def test_status_names_entries_that_do_not_answer(self) -> None:
-        status = self.json_of('status')
+    def test_status_names_unreachable_entries(self) -> None:
+        status = self.run_json('status')
         self.assertEqual(status['silent'], ['entry-1', 'entry-2'])
 
-    def test_check_refuses_with_exit_status_two(self) -> None:
-        bad = self.processes.folder / 'bad.toml'
-        bad.write_text('[entry]\nzone = 1\n')
-        self.assertEqual(self.tester.execute(f'check {bad}'), 2)
+    def test_check_rejects_invalid_settings_with_status_two(self) -> None:
+        invalid_path = self.processes.folder / 'bad.toml'
+        invalid_path.write_text('[entry]\nzone = 1\n')
+        self.assertEqual(self.tester.execute(f'check {invalid_path}'), 2)
         self.assertIn('zone', self.tester.io.fetch_error())
-        good = self.processes.folder / 'entry-1.toml'
-        self.assertEqual(self.tester.execute(f'check {good}'), 0)
+        valid_path = self.processes.folder / 'entry-1.toml'
+        self.assertEqual(self.tester.execute(f'check {valid_path}'), 0)
--- a/seampond/operators/tests/test_explain.py
+++ b/seampond/operators/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The story of a request from several processes' logs."""
+"""Tests of `seampond explain` on the logs of several processes."""
 
 import json
 import tempfile
@@ -11,7 +11,7 @@
 
 from seampond.operators.main import make_application
 
-_OVER = MappingProxyType(
+_REQUEST_OVER = MappingProxyType(
     {
         'event': 'request over',
         'request': 'r1',
@@ -33,46 +33,50 @@
 )
 
 
-def _line(second: int, **fields: Any) -> str:
-    moment = f'2026-01-02 03:04:{second:02d},500'
-    return json.dumps({'time': moment, 'level': 'INFO'} | fields)
+def _log_line(second: int, **fields: Any) -> str:
+    written_at = f'2026-01-02 03:04:{second:02d},500'
+    return json.dumps({'time': written_at, 'level': 'INFO'} | fields)
 
 
 class ExplainTest(unittest.TestCase):
-    """Files in, a story out."""
+    """The command reads log files and prints the course of a request."""
 
-    def test_story_in_order_with_what_was_known(self) -> None:
-        """Lines of both processes, beliefs before them, the deciding step."""
-        status, story, _ = self._run(
+    def test_lines_are_ordered_with_preceding_state_events(self) -> None:
+        """Lines of both processes and earlier state events come in order."""
+        status, output, _ = self._run(
             'r1',
             g1=[
                 'no line of ours',
-                _line(3, event='store call failed', process='g1', table='op'),
-                f'12.3 host {_line(5, process="g1", **_OVER)}',
-                _line(5, event='request over', request='r2', tried=[]),
+                _log_line(
+                    3, event='store call failed', process='g1', table='op'
+                ),
+                f'12.3 host {_log_line(5, process="g1", **_REQUEST_OVER)}',
+                _log_line(5, event='request over', request='r2', tried=[]),
+            ],
+            g2=[
+                _log_line(4, event='attempt failed', request='r1', process='g2')
             ],
-            g2=[_line(4, event='attempt failed', request='r1', process='g2')],
         )
         self.assertEqual(status, 0)
-        rows = story.splitlines()
-        self.assertIn('g1: store call failed', rows[0])
-        self.assertIn('g2: attempt failed', rows[1])
-        self.assertIn('proof_age_ms 420', rows[2])
-        self.assertIn('sent to i-9: thought to hold 3', rows[3])
-        self.assertIn('never came', rows[3])
-        self.assertIn('decided at g1: in-doubt', rows[4])
-        self.assertNotIn('r2', story)
+        printed_lines = output.splitlines()
+        self.assertIn('g1: store call failed', printed_lines[0])
+        self.assertIn('g2: attempt failed', printed_lines[1])
+        self.assertIn('proof_age_ms 420', printed_lines[2])
+        self.assertIn('sent to i-9: thought to hold 3', printed_lines[3])
+        self.assertIn('never came', printed_lines[3])
+        self.assertIn('decided at g1: in-doubt', printed_lines[4])
+        self.assertNotIn('r2', output)
 
-    def test_unknown_request_and_missing_file(self) -> None:
-        """One line with the cure, status 1."""
-        status, _, error = self._run('r9', g1=[_line(5, **_OVER)])
+    def test_unknown_request_and_missing_file_are_reported(self) -> None:
+        """Both failures exit with status 1 and one line on stderr."""
+        status, _, error = self._run('r9', g1=[_log_line(5, **_REQUEST_OVER)])
         self.assertEqual(status, 1)
         self.assertIn("no line of request 'r9'", error)
         status, _, error = self._run('r1 /nowhere/at-all.log')
         self.assertEqual(status, 1)
         self.assertIn('cannot be read', error)
 
-    def _run(self, words: str, **files: list[str]) -> tuple[int, str, str]:
+    def _run(self, arguments: str, **files: list[str]) -> tuple[int, str, str]:
         with tempfile.TemporaryDirectory() as folder:
             paths = []
             for name, lines in files.items():
@@ -82,5 +86,5 @@
             command = make_application().find('explain')
             tester = CommandTester(command)
             names = ' '.join(paths)
-            status = tester.execute(f'{words} {names}')
+            status = tester.execute(f'{arguments} {names}')
         return status, tester.io.fetch_output(), tester.io.fetch_error()
