--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -146,10 +146,12 @@
         mechanism.path.write_text(text, encoding='utf-8')
 
 
-def run_days(why: str, words: list[str]) -> None:
+def run_days(reason: str, arguments: list[str]) -> None:
     """Play the days; the lines of `bin/play.py` are printed."""
     script = str(Path(__file__).with_name('play.py'))
-    subprocess.run([sys.executable, script, *words, '--why', why], check=True)
+    subprocess.run(
+        [sys.executable, script, *arguments, '--why', reason], check=True
+    )
 
 
 def main() -> None:
@@ -158,13 +160,13 @@
         description=__doc__, epilog='Other words are passed to bin/play.py.'
     )
     parser.add_argument('--only', default='', help='one mechanism by its name')
-    options, words = parser.parse_known_args()
+    options, arguments = parser.parse_known_args()
     if not options.only:
-        run_days('ablation: all mechanisms', words)
+        run_days('ablation: all mechanisms', arguments)
     for mechanism in MECHANISMS:
         if options.only in ('', mechanism.name):
             with disable(mechanism):
-                run_days(f'ablation: without {mechanism.name}', words)
+                run_days(f'ablation: without {mechanism.name}', arguments)
 
 
 if __name__ == '__main__':
--- a/bin/play.py
+++ b/bin/play.py
@@ -30,18 +30,18 @@
     day: str
     seed: str
     why: str
-    is_small: bool = False
+    is_small_variant: bool = False
 
     def run(self) -> None:
         """Play it; the bench leaves an entry in the journal."""
-        words = [self.bench, 'run', self.site, self.day, '--seed', self.seed]
-        if self.is_small:
-            words.append('--small')
-        done = subprocess.run(
-            [*words, '--why', self.why], capture_output=True, text=True
+        command = [self.bench, 'run', self.site, self.day, '--seed', self.seed]
+        if self.is_small_variant:
+            command.append('--small')
+        completed = subprocess.run(
+            [*command, '--why', self.why], capture_output=True, text=True
         )
-        if done.returncode > 1:
-            sys.stderr.write(f'{self.day} {self.seed}: {done.stderr}\n')
+        if completed.returncode > 1:
+            sys.stderr.write(f'{self.day} {self.seed}: {completed.stderr}\n')
 
 
 def read_days(why: str) -> list[dict[str, Any]]:
@@ -59,7 +59,7 @@
     parts = [f'{name} {earned:.3f}' for name, _, earned in day['parts']]
     rules = ', '.join(day['rules']) or 'none'
     price = sum(row[-1] for row in day['prices'])
-    words = [
+    described = [
         day['name'],
         str(day['seed']),
         f'worth {day["G"]:.3f}',
@@ -69,7 +69,7 @@
         f'rules {rules}',
         f'gate {day["gate"]}',
     ]
-    return '  '.join(words)
+    return '  '.join(described)
 
 
 def print_means(days: list[dict[str, Any]]) -> None:
--- a/bin/rounds.py
+++ b/bin/rounds.py
@@ -73,17 +73,17 @@
     parser.add_argument('--site', default='', help='its name or a part of it')
     options = parser.parse_args()
     heads = WORTH_HEADS if options.worth else HEADS
-    make = make_worth_row if options.worth else make_row
+    make_cells = make_worth_row if options.worth else make_row
     print('|', ' | '.join(heads), '|')
     print('|', ' | '.join('---' for _ in heads), '|')
     scores = read_scores()
-    known = {entry[SITE] for entry in scores}
-    sites = {name for name in known if options.site in name}
-    if options.site in known:
+    site_names = {entry[SITE] for entry in scores}
+    sites = {name for name in site_names if options.site in name}
+    if options.site in site_names:
         sites = {options.site}
     for entry in scores:
         if entry[SITE] in sites:
-            print('|', ' | '.join(make(entry)), '|')
+            print('|', ' | '.join(make_cells(entry)), '|')
 
 
 if __name__ == '__main__':
--- a/seampond/demo/__main__.py
+++ b/seampond/demo/__main__.py
@@ -16,19 +16,19 @@
 EXAMPLES = Path(__file__).resolve().parent.parent.parent / 'examples'
 CALLS = 360
 SECONDS = 12
-_ROW = '{0:>4}  {1:>5}  {2:>7}  {3:>5}  {4:>9}  {5:>9}  {6}'
+_ROW_FORMAT = '{0:>4}  {1:>5}  {2:>7}  {3:>5}  {4:>9}  {5:>9}  {6}'
 _HEADINGS = ('tier', 'sent', 'in time', 'late', 'computed', 'reused', 'refused')
 
 
 def print_report(report: DemoReport) -> None:
     """Print a row a tier."""
-    print(_ROW.format(*_HEADINGS))
+    print(_ROW_FORMAT.format(*_HEADINGS))
     for number, tier in sorted(report.tiers.items()):
         refused = ', '.join(
             f'{reason} {count}' for reason, count in tier.refused.items()
         )
         print(
-            _ROW.format(
+            _ROW_FORMAT.format(
                 number,
                 tier.sent,
                 tier.in_time,
@@ -40,7 +40,7 @@
         )
 
 
-def print_curl_lines(fleet: Fleet) -> None:
+def print_curl_commands(fleet: Fleet) -> None:
     """Print a line that works for each workspace and template."""
     configuration = fleet.entries[0].parts.holder.current
     url = fleet.entries[0].url
@@ -69,7 +69,7 @@
         agents = len(fleet.agents)
         print(f'up: {entries} entries, {agents} agents with their servers')
         if keep:
-            print_curl_lines(fleet)
+            print_curl_commands(fleet)
             print('serving; end with Ctrl-C', flush=True)
             await asyncio.Event().wait()
         print(f'sending {CALLS} requests over {SECONDS} s', flush=True)
--- a/seampond/demo/fleet.py
+++ b/seampond/demo/fleet.py
@@ -29,8 +29,8 @@
 _FIRST_PORT = 20_000
 _LAST_PORT = 32_000
 # Nothing listens here: a port that is bound here is another process's choice.
-_CLAIM_HOST = '127.0.0.2'
-_claims: list[socket.socket] = []
+_RESERVATION_HOST = '127.0.0.2'
+_reserved_ports: list[socket.socket] = []
 
 
 @dataclass
@@ -61,16 +61,16 @@
     agents: list[RunningAgent]
     entries: list[RunningEntry]
     keys: dict[str, str]
-    slots: list[AgentSlot]
+    agent_slots: list[AgentSlot]
     broken_by_stopped_agents: list[int] = field(default_factory=list)
 
     async def replace_agent(self, index: int, *, planned: bool) -> None:
         """End an agent and start a new one on its address."""
         if planned:
             await self.agents[index].drain()
-        await self.slots[index].stop()
+        await self.agent_slots[index].stop()
         self.broken_by_stopped_agents.append(self.agents[index].promises.broken)
-        self.agents[index] = await self.slots[index].start()
+        self.agents[index] = await self.agent_slots[index].start()
 
     @property
     def promises_broken(self) -> int:
@@ -89,15 +89,15 @@
     return True
 
 
-def _claim(port: int) -> bool:
+def _reserve_port(port: int) -> bool:
     """Keep a port from being chosen again, by any process, until we end."""
-    claim = socket.socket()
+    reservation = socket.socket()
     try:
-        claim.bind((_CLAIM_HOST, port))
+        reservation.bind((_RESERVATION_HOST, port))
     except OSError:
-        claim.close()
+        reservation.close()
         return False
-    _claims.append(claim)
+    _reserved_ports.append(reservation)
     return True
 
 
@@ -111,7 +111,7 @@
     """
     start = random.randrange(_FIRST_PORT, _LAST_PORT)
     for port in (*range(start, _LAST_PORT), *range(_FIRST_PORT, start)):
-        if _is_free(port) and _claim(port):
+        if _is_free(port) and _reserve_port(port):
             yield port
 
 
@@ -123,35 +123,37 @@
     The same port becomes the same free port in all files, so that the
     roles still find each other.
     """
-    ports: dict[str, int] = {}
+    free_port_by_port: dict[str, int] = {}
     free = free_ports()
 
-    def swap(match: re.Match[str]) -> str:
+    def replace_port(match: re.Match[str]) -> str:
         port = match.group(1)
-        if port not in ports:
-            ports[port] = next(free)
-        return f'127.0.0.1:{ports[port]}'
+        if port not in free_port_by_port:
+            free_port_by_port[port] = next(free)
+        return f'127.0.0.1:{free_port_by_port[port]}'
 
     for path in sorted(source.glob('*.toml')):
         text = path.read_text(encoding='utf-8')
         (target / path.name).write_text(
-            _ADDRESS.sub(swap, text), encoding='utf-8'
+            _ADDRESS.sub(replace_port, text), encoding='utf-8'
         )
 
 
-async def _make_keys(platform: RunningPlatform, clock: Clock) -> dict[str, str]:
+async def _create_keys(
+    platform: RunningPlatform, clock: Clock
+) -> dict[str, str]:
     tables = platform.platform.tables.as_port()
     keys = {}
     for row in await tables.scan(WORKSPACES, '', '~', 1000):
-        made = make_key(row.key)
-        content = {**row.content, 'key_hashes': [made.key_hash]}
+        created = make_key(row.key)
+        content = {**row.content, 'key_hashes': [created.key_hash]}
         edit = Edit(WORKSPACES, row.key, row.version, content, 'demo')
         await commit_edit(tables, clock, edit)
-        keys[row.key] = made.key
+        keys[row.key] = created.key
     return keys
 
 
-def _is_settled(entry: RunningEntry, agents: int) -> bool:
+def _is_connected_to_all(entry: RunningEntry, agents: int) -> bool:
     peers = entry.parts.dispatcher.peers.values()
     up = sum(peer.takes_work for peer in peers)
     return entry.parts.is_ready and up == agents
@@ -179,12 +181,12 @@
             )
             for path in paths('engine')
         ]
-        slots = [
+        agent_slots = [
             AgentSlot(load_settings(path, AgentSettings), clock)
             for path in paths('agent')
         ]
         agents = []
-        for slot in slots:
+        for slot in agent_slots:
             stack.push_async_callback(slot.stop)
             agents.append(await slot.start())
         entries = [
@@ -193,7 +195,9 @@
             )
             for path in paths('entry')
         ]
-        keys = await _make_keys(platform, clock)
-        while not all(_is_settled(entry, len(agents)) for entry in entries):
+        keys = await _create_keys(platform, clock)
+        while not all(
+            _is_connected_to_all(entry, len(agents)) for entry in entries
+        ):
             await clock.sleep(_POLL_MS)
-        yield Fleet(platform, engines, agents, entries, keys, slots)
+        yield Fleet(platform, engines, agents, entries, keys, agent_slots)
--- a/seampond/demo/load_generator.py
+++ b/seampond/demo/load_generator.py
@@ -43,17 +43,17 @@
         return self.tiers.setdefault(number, TierReport())
 
 
-def _note_refusal(reply: Reply, tier: TierReport, report: DemoReport) -> None:
+def _record_refusal(reply: Reply, tier: TierReport, report: DemoReport) -> None:
     reason = reply.error['reason']
     tier.refused[reason] = tier.refused.get(reason, 0) + 1
     if reply.error['run'] == 'no':
         report.not_run.append(reply.error['request_id'])
 
 
-def _check(call: Call, reply: Reply, report: DemoReport) -> None:
+def _check_reply(call: Call, reply: Reply, report: DemoReport) -> None:
     tier = report.tier(call.tier)
     if not reply.is_ok:
-        _note_refusal(reply, tier, report)
+        _record_refusal(reply, tier, report)
     elif call.chat:
         usage = check_chat(call.chat, reply)
         reused = usage['prompt_tokens_details']['cached_tokens']
@@ -67,7 +67,11 @@
     caller = Caller(
         fleet.entries[call.entry].url, fleet.keys[call.workspace], client
     )
-    headers = {'idempotency-key': call.key} if call.key else {}
+    headers = (
+        {'idempotency-key': call.idempotency_key}
+        if call.idempotency_key
+        else {}
+    )
     if call.chat:
         return await caller.chat(call.chat, **headers)
     name = call.template.name
@@ -87,7 +91,7 @@
         started_ms = clock.now()
         try:
             reply = await _send(client, fleet, call)
-            _check(call, reply, report)
+            _check_reply(call, reply, report)
         except CALL_ERRORS as error:
             report.violations.append(f'call {call.number}: {error!r}')
             return
--- a/seampond/demo/traffic.py
+++ b/seampond/demo/traffic.py
@@ -8,11 +8,11 @@
 from seampond.templates.models import Template, Workspace
 from seampond.testing.caller import ChatRequest
 
-_HISTORY_CHARACTERS = 24_000
-_MEDIUM_CHARACTERS = 2400
-_SHORT_CHARACTERS = 160
-_HISTORIES = 4
-_STREAM_SHARE = 0.6
+_HISTORY_LENGTH = 24_000
+_MEDIUM_LENGTH = 2400
+_SHORT_LENGTH = 160
+_HISTORY_COUNT = 4
+_STREAM_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,24 +27,24 @@
     chat: ChatRequest | None = None
 
     @property
-    def key(self) -> str:
+    def idempotency_key(self) -> str:
         """The idempotency key; empty where none is needed."""
         return '' if self.template.repeatable else f'demo-{self.number}'
 
 
-def _prompt(
+def _make_prompt(
     workspace: Workspace, template: Template, rng: random.Random
 ) -> str:
     if template.repeatable:
-        length = rng.choice((_SHORT_CHARACTERS, _MEDIUM_CHARACTERS))
+        length = rng.choice((_SHORT_LENGTH, _MEDIUM_LENGTH))
         return f'{template.name} {rng.random()} '.ljust(length, 'x')
     # A member's history comes back: the same head, another question.
-    member = rng.randrange(_HISTORIES)
-    history = f'{workspace.name} {member} '.ljust(_HISTORY_CHARACTERS, 'h')
+    member = rng.randrange(_HISTORY_COUNT)
+    history = f'{workspace.name} {member} '.ljust(_HISTORY_LENGTH, 'h')
     return f'{history} question {rng.random()}'
 
 
-def _offers(fleet: Fleet) -> list[tuple[Workspace, Template]]:
+def _workspace_templates(fleet: Fleet) -> list[tuple[Workspace, Template]]:
     configuration = fleet.entries[0].parts.holder.current
     return [
         (workspace, configuration.templates[name])
@@ -56,16 +56,16 @@
 def make_calls(fleet: Fleet, count: int, seed: int) -> Iterator[Call]:
     """Give `count` calls that take turns over workspaces and templates."""
     rng = random.Random(seed)
-    offers = _offers(fleet)
+    pairs = _workspace_templates(fleet)
     for number in range(count):
-        workspace, template = offers[number % len(offers)]
+        workspace, template = pairs[number % len(pairs)]
         chat = None
         if template.kind == 'model':
             chat = ChatRequest(
                 template.name,
-                _prompt(workspace, template, rng),
+                _make_prompt(workspace, template, rng),
                 rng.randint(4, template.answer_tokens // 2),
-                is_stream=rng.random() < _STREAM_SHARE,
+                is_stream=rng.random() < _STREAM_FRACTION,
             )
         yield Call(
             number,
--- a/seampond/demo/verify.py
+++ b/seampond/demo/verify.py
@@ -6,23 +6,23 @@
 
 
 def find_violations(
-    fleet: Fleet, seen: Iterable[str], not_run: Iterable[str]
+    fleet: Fleet, reported_by_callers: Iterable[str], not_run: Iterable[str]
 ) -> list[str]:
     """Give every promise that did not hold, as a line each.
 
     Parameters
     ----------
-    seen : Iterable[str]
+    reported_by_callers : Iterable[str]
         What the callers found wrong themselves.
     not_run : Iterable[str]
         Ids of the requests that were refused as not run.
 
     """
-    violations = list(seen)
-    ran: set[str] = set()
+    violations = list(reported_by_callers)
+    executed: set[str] = set()
     for running in fleet.engines:
         engine = running.engine
-        ran.update(engine.runs)
+        executed.update(engine.runs)
         violations += [
             f'request {request_id} ran {count} times'
             for request_id, count in engine.runs.items()
@@ -36,7 +36,7 @@
     violations += [
         f'request {request_id} was refused as not run, and ran'
         for request_id in not_run
-        if request_id in ran
+        if request_id in executed
     ]
     if fleet.promises_broken:
         violations.append(
--- a/seampond/slopes/__main__.py
+++ b/seampond/slopes/__main__.py
@@ -20,7 +20,7 @@
 
 _SLOPE_ROW = '| {slope.name} | {slope.value:,.1f} | {slope.unit} |'
 _FIGURE_ROW = (
-    '| {row.role} | {row.what} | {row.formula} | {row.today:,.2f} '
+    '| {row.role} | {row.quantity} | {row.formula} | {row.today:,.2f} '
     '| {row.target:,.2f} | {row.unit} | {row.limit} |'
 )
 
--- a/seampond/slopes/capacity.py
+++ b/seampond/slopes/capacity.py
@@ -10,11 +10,11 @@
 _PERCENT = 100
 _HEARTBEAT_BYTES = 56
 _POLLS_PER_S = 2
-_UNREPEATABLE_SHARE = 1 / 40
+_UNREPEATABLE_FRACTION = 1 / 40
 _READS_PER_EDIT = 3
-_BUDGET_BYTES_PER_S = 3000
-_TICKET_EXTRA = 2
-_SHARE = '% of a core'
+_HEARTBEAT_BUDGET_BYTES_PER_S = 3000
+_TICKETS_PER_STREAM = 2
+_CORE_PERCENT = '% of a core'
 
 
 @dataclass(frozen=True)
@@ -35,8 +35,8 @@
     @property
     def links_per_entry(self) -> int:
         """Links of one entry: 24 for each pool, or all."""
-        each = min(24, self.agents // self.pools)
-        return each * self.pools
+        links_per_pool = min(24, self.agents // self.pools)
+        return links_per_pool * self.pools
 
     @property
     def links_per_agent(self) -> float:
@@ -47,7 +47,10 @@
     def heartbeat_interval_s(self) -> float:
         """Seconds between two heartbeats on a link."""
         return max(
-            1, self.links_per_entry * _HEARTBEAT_BYTES / _BUDGET_BYTES_PER_S
+            1,
+            self.links_per_entry
+            * _HEARTBEAT_BYTES
+            / _HEARTBEAT_BUDGET_BYTES_PER_S,
         )
 
 
@@ -62,7 +65,7 @@
     """One row of the capacity page."""
 
     role: str
-    what: str
+    quantity: str
     formula: str
     today: float
     target: float
@@ -96,7 +99,7 @@
         + size.workspaces * 4 * slopes['two buckets of a limit']
         + size.open_streams
         / size.entries
-        * _TICKET_EXTRA
+        * _TICKETS_PER_STREAM
         * slopes['waiting request without its body']
     )
     return [
@@ -117,8 +120,8 @@
 
 
 _ENTRY_LABELS = (
-    ('control: heartbeats', 'links / beat x heartbeat', _SHARE, '1.4'),
-    ('control: polls', '2 a second x poll', _SHARE, '1.4'),
+    ('control: heartbeats', 'links / beat x heartbeat', _CORE_PERCENT, '1.4'),
+    ('control: polls', '2 a second x poll', _CORE_PERCENT, '1.4'),
     ('control: heartbeats', 'links / beat x 56 bytes', 'KB/s', '4'),
     (
         'control: VM list and changes',
@@ -132,8 +135,8 @@
         'KB/s',
         '',
     ),
-    ('requests', 'requests x request', _SHARE, ''),
-    ('tokens', 'tokens x token', _SHARE, ''),
+    ('requests', 'requests x request', _CORE_PERCENT, ''),
+    ('tokens', 'tokens x token', _CORE_PERCENT, ''),
     (
         'memory',
         'base + links + members + workspaces + streams',
@@ -148,11 +151,11 @@
     share = _PERCENT / _MILLION
     requests = size.requests_per_s / size.agents
     tokens = size.tokens_per_s / size.agents
-    kept_runs = requests * 60
+    retained_runs = requests * 60
     memory = (
         slopes['agent: memory after load']
         + size.links_per_agent * slopes['link, both ends'] / 2
-        + kept_runs * slopes['waiting request without its body']
+        + retained_runs * slopes['waiting request without its body']
         + size.open_streams
         / size.agents
         * slopes['run of 100 frames kept by the agent']
@@ -168,16 +171,16 @@
 
 
 _AGENT_LABELS = (
-    ('control: heartbeats', 'links / beat x heartbeat', _SHARE, '1.4'),
+    ('control: heartbeats', 'links / beat x heartbeat', _CORE_PERCENT, '1.4'),
     ('control: heartbeats', 'links / beat x 56 bytes', 'KB/s', '4'),
-    ('requests', 'requests x request', _SHARE, ''),
-    ('tokens', 'tokens x token', _SHARE, ''),
+    ('requests', 'requests x request', _CORE_PERCENT, ''),
+    ('tokens', 'tokens x token', _CORE_PERCENT, ''),
     ('memory', 'base + links + kept answers', 'MB', '128'),
 )
 
 
 def _platform_rows(size: DeploymentSize, slopes: Slopes) -> list[float]:
-    unrepeatable = size.requests_per_s * _UNREPEATABLE_SHARE
+    unrepeatable = size.requests_per_s * _UNREPEATABLE_FRACTION
     row = slopes['workspace row as JSON']
     return [
         size.entries,
@@ -211,27 +214,30 @@
 
 
 _COMMAND_LABELS = (
-    ('all edits', 'changes x command / day', _SHARE, ''),
+    ('all edits', 'changes x command / day', _CORE_PERCENT, ''),
     ('reads and writes', 'changes x 3 / day', 'calls/s', ''),
 )
 
 
-def _figure(role: str, label: Label, amounts: list[float]) -> Figure:
-    what, formula, unit, limit = label
+def _make_figure(role: str, label: Label, amounts: list[float]) -> Figure:
+    quantity, formula, unit, limit = label
     today, target = amounts
-    return Figure(role, what, formula, today, target, unit, limit)
+    return Figure(role, quantity, formula, today, target, unit, limit)
 
 
 def compute_figures(slopes: Slopes) -> list[Figure]:
     """Give the rows of the capacity page."""
     rows = []
-    for role, labels, work in (
+    for role, labels, compute_rows in (
         ('entry', _ENTRY_LABELS, _entry_rows),
         ('agent', _AGENT_LABELS, _agent_rows),
         ('platform', _PLATFORM_LABELS, _platform_rows),
         ('command', _COMMAND_LABELS, _command_rows),
     ):
-        today, target = work(TODAY, slopes), work(TARGET, slopes)
+        today, target = (
+            compute_rows(TODAY, slopes),
+            compute_rows(TARGET, slopes),
+        )
         for label, *amounts in zip(labels, today, target, strict=True):
-            rows.append(_figure(role, label, amounts))
+            rows.append(_make_figure(role, label, amounts))
     return rows
--- a/seampond/slopes/gateway_fleet.py
+++ b/seampond/slopes/gateway_fleet.py
@@ -43,11 +43,11 @@
 from seampond.testing.store import StandInStore, run_store
 
 _SLOTS = 8
-_REQUESTS_A_S = 6
-_SERVERS_TOLD = 6
+_REQUESTS_PER_S = 6
+_SERVERS_PER_HEARTBEAT = 6
 _UPTIME_MS = 60_000
-_UNREAD = 900
-_PORTS = 4
+_PENDING_TOKENS = 900
+_PORT_COUNT = 4
 
 
 @dataclass(frozen=True)
@@ -64,7 +64,9 @@
 ) -> Heartbeat:
     """Give what a busy gateway would tell."""
     rng = random.Random(incarnation)
-    told = rng.sample(range(sizes.servers), min(_SERVERS_TOLD, sizes.servers))
+    loaded_servers = rng.sample(
+        range(sizes.servers), min(_SERVERS_PER_HEARTBEAT, sizes.servers)
+    )
     return Heartbeat(
         name,
         incarnation,
@@ -76,7 +78,10 @@
         },
         uptime_ms=_UPTIME_MS
         + sequence * compute_heartbeat_interval_ms(sizes.gateways),
-        loads={hash_name(f'i-{server}'): Load(2, _UNREAD) for server in told},
+        loads={
+            hash_name(f'i-{server}'): Load(2, _PENDING_TOKENS)
+            for server in loaded_servers
+        },
     )
 
 
@@ -111,10 +116,10 @@
         while True:
             sequence += 1
             for number in range(sizes.gateways - 1):
-                told = build_heartbeat(
+                heartbeat = build_heartbeat(
                     sizes, f'peer-{number}', number + 1, sequence
                 )
-                transport.sendto(encode(told))
+                transport.sendto(encode(heartbeat))
                 await asyncio.sleep(pause)
     finally:
         transport.close()
@@ -138,7 +143,7 @@
                 data=b'ask',
             )
             await answer.content()
-        await asyncio.sleep(1 / _REQUESTS_A_S)
+        await asyncio.sleep(1 / _REQUESTS_PER_S)
 
 
 def write_settings(folder: Path, store: str, ports: Sequence[int]) -> Path:
@@ -156,7 +161,7 @@
 @asynccontextmanager
 async def run_fleet(sizes: FleetSize, folder: Path) -> AsyncIterator[list[str]]:
     """Run all but the gateway; give the words that start it."""
-    ports = tuple(islice(free_ports(), _PORTS))
+    ports = tuple(islice(free_ports(), _PORT_COUNT))
     sink, _ = await asyncio.get_running_loop().create_datagram_endpoint(
         asyncio.DatagramProtocol, local_addr=('127.0.0.1', 0)
     )
--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -21,13 +21,13 @@
 from seampond.slopes.gateway_fleet import FleetSize, run_fleet
 
 # Linux counts the processor time of processes in hundredths of a second.
-_TICKS_A_S = 100
-_WARM_S = 3
-_SPAN_S = 10
-_SERVERS_A_GATEWAY = 1.24
+_CLOCK_TICKS_PER_S = 100
+_WARM_UP_S = 3
+_MEASUREMENT_S = 10
+_SERVERS_PER_GATEWAY = 1.24
 _WORKSPACES = 19
 _MODULE = 'seampond.slopes.gateway_profile'
-_GROUPS = (
+_FUNCTION_GROUPS = (
     ('take a heartbeat', 'datagram_received'),
     ('of it: decode', 'heartbeats.py:decode'),
     ('of it: quotas', 'quotas.py:apply_heartbeat'),
@@ -45,17 +45,17 @@
 
 def read_cpu_seconds(pid: int) -> float:
     """Give the processor time that a process has taken."""
-    text = Path(f'/proc/{pid}/stat').read_text(encoding='utf-8')
-    used, system = text.rpartition(')')[2].split()[11:13]
-    return (int(used) + int(system)) / _TICKS_A_S
+    stat_text = Path(f'/proc/{pid}/stat').read_text(encoding='utf-8')
+    user_ticks, system_ticks = stat_text.rpartition(')')[2].split()[11:13]
+    return (int(user_ticks) + int(system_ticks)) / _CLOCK_TICKS_PER_S
 
 
 async def measure_cpu_share(pid: int) -> float:
     """Give the share of a core that a process takes, once it is warm."""
-    await asyncio.sleep(_WARM_S)
+    await asyncio.sleep(_WARM_UP_S)
     before = read_cpu_seconds(pid)
-    await asyncio.sleep(_SPAN_S)
-    return (read_cpu_seconds(pid) - before) / _SPAN_S
+    await asyncio.sleep(_MEASUREMENT_S)
+    return (read_cpu_seconds(pid) - before) / _MEASUREMENT_S
 
 
 async def measure_fleet(
@@ -63,37 +63,39 @@
 ) -> tuple[float, str]:
     """Play one fleet; give the share of a core, and the profile's file."""
     folder = Path(tempfile.mkdtemp())
-    async with run_fleet(sizes, folder) as words:
+    async with run_fleet(sizes, folder) as arguments:
         if not is_profiled:
-            words = words[:1]
-        child = subprocess.Popen(
-            [sys.executable, '-m', _MODULE, '--gateway', *words],
+            arguments = arguments[:1]
+        process = subprocess.Popen(
+            [sys.executable, '-m', _MODULE, '--gateway', *arguments],
             stdout=subprocess.DEVNULL,
         )
         try:
-            share = await measure_cpu_share(child.pid)
+            share = await measure_cpu_share(process.pid)
         finally:
-            child.send_signal(signal.SIGTERM)
-            await asyncio.to_thread(child.wait)
+            process.send_signal(signal.SIGTERM)
+            await asyncio.to_thread(process.wait)
     return share, str(folder / 'profile')
 
 
-def run_gateway_child(words: list[str]) -> int:
+def run_gateway_child(arguments: list[str]) -> int:
     """Run the gateway, under the profiler if a file is named for it."""
-    if len(words) == 1:
-        return run_gateway(words)
+    if len(arguments) == 1:
+        return run_gateway(arguments)
     profile = cProfile.Profile()
     profile.enable()
     try:
-        return run_gateway(words[:1])
+        return run_gateway(arguments[:1])
     finally:
         profile.disable()
-        profile.dump_stats(words[1])
+        profile.dump_stats(arguments[1])
 
 
-def sum_matching(table: dict[Any, Any], wanted: str) -> tuple[int, float]:
+def sum_matching(
+    table: dict[Any, Any], function_name: str
+) -> tuple[int, float]:
     """Give calls and seconds of the functions that a text names."""
-    module, _, function = wanted.rpartition(':')
+    module, _, function = function_name.rpartition(':')
     calls, seconds = 0, 0
     for (path, _, name), row in table.items():
         if path.endswith(module) and function in name:
@@ -106,8 +108,8 @@
     """Give a line for each group of functions: calls, seconds."""
     table = pstats.Stats(path).stats  # type: ignore[attr-defined]
     lines = []
-    for title, wanted in _GROUPS:
-        calls, seconds = sum_matching(table, wanted)
+    for title, function_name in _FUNCTION_GROUPS:
+        calls, seconds = sum_matching(table, function_name)
         lines.append(f'  {title:<24}{calls:>8} calls {seconds:>8.3f} s')
     return lines
 
@@ -121,10 +123,10 @@
     options = parser.parse_args()
     if options.gateway:
         sys.exit(run_gateway_child(options.gateway))
-    for told in options.gateways.split(','):
-        count = int(told)
+    for gateways_text in options.gateways.split(','):
+        count = int(gateways_text)
         sizes = FleetSize(
-            count, round(count * _SERVERS_A_GATEWAY), options.workspaces
+            count, round(count * _SERVERS_PER_GATEWAY), options.workspaces
         )
         share, _ = asyncio.run(measure_fleet(sizes, is_profiled=False))
         print(
--- a/seampond/slopes/roles.py
+++ b/seampond/slopes/roles.py
@@ -14,15 +14,19 @@
 from seampond.testing.caller import Caller, ChatRequest, check_chat
 from seampond.testing.processes import Processes, run_processes
 
-_CPU = re.compile(r'^process_cpu_seconds_total (\S+)$', re.MULTILINE)
-_RSS = re.compile(r'^process_resident_memory_bytes (\S+)$', re.MULTILINE)
-_IDLE_SECONDS = 8
+_CPU_SECONDS_PATTERN = re.compile(
+    r'^process_cpu_seconds_total (\S+)$', re.MULTILINE
+)
+_RESIDENT_BYTES_PATTERN = re.compile(
+    r'^process_resident_memory_bytes (\S+)$', re.MULTILINE
+)
+_IDLE_S = 8
 _PERCENT = 100
-_AT_ONCE = 16
-_REQUESTS = 640
+_MAX_CONCURRENT = 16
+_REQUEST_COUNT = 640
 _FEW_TOKENS = 2
 _MANY_TOKENS = 66
-_STREAMS = 320
+_STREAM_COUNT = 320
 _AGENTS = ('agent-1', 'agent-2', 'agent-3', 'agent-4')
 _ENTRIES = ('entry-1', 'entry-2')
 
@@ -31,8 +35,8 @@
 class ResourceUsage:
     """Processor seconds and resident bytes, summed over a role."""
 
-    seconds: float
-    largest_bytes: float
+    cpu_seconds: float
+    peak_bytes: float
 
 
 def _fetch_metrics(processes: Processes, name: str) -> str:
@@ -55,13 +59,13 @@
     """Read the processes' own metrics."""
     pages = [_fetch_metrics(processes, name) for name in names]
     return ResourceUsage(
-        sum(_parse_metric(_CPU, page) for page in pages),
-        max(_parse_metric(_RSS, page) for page in pages),
+        sum(_parse_metric(_CPU_SECONDS_PATTERN, page) for page in pages),
+        max(_parse_metric(_RESIDENT_BYTES_PATTERN, page) for page in pages),
     )
 
 
 async def _send(caller: Caller, chat: ChatRequest, count: int) -> None:
-    gate = asyncio.Semaphore(_AT_ONCE)
+    gate = asyncio.Semaphore(_MAX_CONCURRENT)
 
     async def one() -> None:
         async with gate:
@@ -74,11 +78,11 @@
     processes: Processes, load: Callable[[], Awaitable[None]], count: int
 ) -> tuple[float, float]:
     """Give microseconds for each unit of load, at entries and at agents."""
-    entries = read_usage(processes, _ENTRIES).seconds
-    agents = read_usage(processes, _AGENTS).seconds
+    entries = read_usage(processes, _ENTRIES).cpu_seconds
+    agents = read_usage(processes, _AGENTS).cpu_seconds
     await load()
-    entry = read_usage(processes, _ENTRIES).seconds - entries
-    agent = read_usage(processes, _AGENTS).seconds - agents
+    entry = read_usage(processes, _ENTRIES).cpu_seconds - entries
+    agent = read_usage(processes, _AGENTS).cpu_seconds - agents
     return entry / count * MICROSECONDS, agent / count * MICROSECONDS
 
 
@@ -98,18 +102,20 @@
 
 
 async def _measure(processes: Processes, key: str) -> list[Slope]:
-    async with open_client(_AT_ONCE) as client:
+    async with open_client(_MAX_CONCURRENT) as client:
         caller = Caller(processes.url('entry-1'), key, client)
         while not (await caller.chat(ChatRequest('trainer-answer'))).is_ok:
-            await asyncio.sleep(1 / _AT_ONCE)
+            await asyncio.sleep(1 / _MAX_CONCURRENT)
         few = ChatRequest('trainer-answer', max_tokens=_FEW_TOKENS)
         many = ChatRequest('trainer-answer', max_tokens=_MANY_TOKENS)
-        await _send(caller, few, _STREAMS)
+        await _send(caller, few, _STREAM_COUNT)
         request = await _measure_unit_cost(
-            processes, lambda: _send(caller, few, _REQUESTS), _REQUESTS
+            processes,
+            lambda: _send(caller, few, _REQUEST_COUNT),
+            _REQUEST_COUNT,
         )
         stream = await _measure_unit_cost(
-            processes, lambda: _send(caller, many, _STREAMS), _STREAMS
+            processes, lambda: _send(caller, many, _STREAM_COUNT), _STREAM_COUNT
         )
     frames = _MANY_TOKENS - _FEW_TOKENS
     return [
@@ -124,18 +130,18 @@
     """Measure one operators' command, the first child to end."""
     processes.run_command('template', 'list')
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
-    seconds = used.ru_utime + used.ru_stime
-    return Slope('command: processor time', seconds * MICROSECONDS, 'us')
+    cpu_seconds = used.ru_utime + used.ru_stime
+    return Slope('command: processor time', cpu_seconds * MICROSECONDS, 'us')
 
 
 def _measure_idle(
     processes: Processes, role: str, names: tuple[str, ...]
 ) -> Slope:
-    before = read_usage(processes, names).seconds
+    before = read_usage(processes, names).cpu_seconds
     started = time.monotonic()
-    time.sleep(_IDLE_SECONDS)
+    time.sleep(_IDLE_S)
     elapsed = time.monotonic() - started
-    spent = read_usage(processes, names).seconds - before
+    spent = read_usage(processes, names).cpu_seconds - before
     share = spent / len(names) / elapsed * _PERCENT
     return Slope(f'{role}: idle', share, '% of a core')
 
@@ -155,7 +161,7 @@
     return [
         command,
         *idle,
-        Slope('entry: memory after load', entries.largest_bytes, 'bytes'),
-        Slope('agent: memory after load', agents.largest_bytes, 'bytes'),
+        Slope('entry: memory after load', entries.peak_bytes, 'bytes'),
+        Slope('agent: memory after load', agents.peak_bytes, 'bytes'),
         *loaded,
     ]
--- a/seampond/soak/__main__.py
+++ b/seampond/soak/__main__.py
@@ -24,7 +24,7 @@
 _SECONDS_PER_MINUTE = 60
 
 
-async def soak(
+async def run_soak(
     folder: Path, seed: int, seconds: float, faults: tuple[Fault, ...]
 ) -> SoakReport:
     """Run one soak.
@@ -54,12 +54,12 @@
     ):
         until_ms = clock.now() + round(seconds * MS_PER_SECOND)
         context = FaultContext(fleet, random.Random(seed), clock, faults)
-        plan = LoadGenerator(
+        generator = LoadGenerator(
             fleet, client, random.Random(seed + 1), clock, report
         )
         await asyncio.gather(
             inject_faults(context, until_ms, report.faults),
-            generate_load(plan, until_ms),
+            generate_load(generator, until_ms),
         )
         report.violations = find_violations(
             fleet, report.violations, report.not_run
@@ -98,7 +98,7 @@
         copy_with_free_ports(EXAMPLES / options.deployment, folder)
         seconds = options.minutes * _SECONDS_PER_MINUTE
         faults = tuple(FAULTS[name] for name in options.faults)
-        report = asyncio.run(soak(folder, options.seed, seconds, faults))
+        report = asyncio.run(run_soak(folder, options.seed, seconds, faults))
     print_report(report, options.seed)
     return int(bool(report.violations))
 
--- a/seampond/soak/load_generator.py
+++ b/seampond/soak/load_generator.py
@@ -19,9 +19,9 @@
     check_chat,
 )
 
-_TRIES = 3
-_PAUSE_MS = 40
-_MAX_RUNNING = 120
+_MAX_ATTEMPTS = 3
+_MAX_PAUSE_MS = 40
+_MAX_CONCURRENT = 120
 
 
 @dataclass
@@ -45,46 +45,50 @@
     clock: Clock
     report: SoakReport
 
-    async def run(self, call: Call) -> None:
+    async def send_with_retries(self, call: Call) -> None:
         """Send one call; unrepeatable work is tried again by its key."""
-        for attempt in range(_TRIES):
+        for attempt in range(_MAX_ATTEMPTS):
             entry = (call.entry + attempt) % len(self.fleet.entries)
-            is_over = await self._try(call, entry)
-            if is_over or not call.key:
+            is_over = await self._attempt(call, entry)
+            if is_over or not call.idempotency_key:
                 return
             await self.clock.sleep(self.rng.uniform(0, 500))
 
-    async def _try(self, call: Call, entry: int) -> bool:
+    async def _attempt(self, call: Call, entry: int) -> bool:
         self.report.sent += 1
         try:
             reply = await self._send(call, entry)
         except CALL_ERRORS:
             self.report.outcomes['broken'] += 1
             return False
-        self._note(call, reply)
+        self._record_reply(call, reply)
         return reply.is_ok
 
     async def _send(self, call: Call, entry: int) -> Reply:
         key = self.fleet.keys[call.workspace]
         caller = Caller(self.fleet.entries[entry].url, key, self.client)
-        headers = {'idempotency-key': call.key} if call.key else {}
+        headers = (
+            {'idempotency-key': call.idempotency_key}
+            if call.idempotency_key
+            else {}
+        )
         if call.chat:
             return await caller.chat(call.chat, **headers)
         path = f'/services/{call.template.name}/{call.number}'
         return await caller.post(path, b'{}', **headers)
 
-    def _note(self, call: Call, reply: Reply) -> None:
+    def _record_reply(self, call: Call, reply: Reply) -> None:
         if reply.status == 500:
             self.report.outcomes['engine 500'] += 1
         elif reply.is_ok:
-            self._check(call, reply)
+            self._check_reply(call, reply)
         else:
             error = reply.error
             self.report.outcomes['{reason}/{run}'.format(**error)] += 1
             if error['run'] == 'no':
                 self.report.not_run.append(error['request_id'])
 
-    def _check(self, call: Call, reply: Reply) -> None:
+    def _check_reply(self, call: Call, reply: Reply) -> None:
         self.report.outcomes['whole'] += 1
         try:
             if call.chat:
@@ -95,14 +99,16 @@
             self.report.violations.append(f'call {call.number}: {error}')
 
 
-async def generate_load(plan: LoadGenerator, until_ms: int) -> None:
+async def generate_load(generator: LoadGenerator, until_ms: int) -> None:
     """Send calls in open loop, up to a bound at once, until `until_ms`."""
     running: set[asyncio.Task[None]] = set()
-    calls = make_calls(plan.fleet, 1_000_000, plan.rng.randrange(2**30))
-    while plan.clock.now() < until_ms:
-        if len(running) < _MAX_RUNNING:
-            task = asyncio.create_task(plan.run(next(calls)))
+    calls = make_calls(
+        generator.fleet, 1_000_000, generator.rng.randrange(2**30)
+    )
+    while generator.clock.now() < until_ms:
+        if len(running) < _MAX_CONCURRENT:
+            task = asyncio.create_task(generator.send_with_retries(next(calls)))
             running.add(task)
             task.add_done_callback(running.discard)
-        await plan.clock.sleep(plan.rng.uniform(0, _PAUSE_MS))
+        await generator.clock.sleep(generator.rng.uniform(0, _MAX_PAUSE_MS))
     await asyncio.gather(*running)
--- a/seampond/soak/tests/test_soak.py
+++ b/seampond/soak/tests/test_soak.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from seampond.demo.fleet import copy_with_free_ports
-from seampond.soak.__main__ import soak
+from seampond.soak.__main__ import run_soak
 from seampond.soak.faults import ALL_FAULTS, Fault, cut_links, rolled_agent
 from seampond.soak.load_generator import SoakReport
 from seampond.testing.processes import EXAMPLES
@@ -19,7 +19,7 @@
         with tempfile.TemporaryDirectory() as scratch:
             folder = Path(scratch)
             copy_with_free_ports(EXAMPLES / 'blue-mahoe', folder)
-            return await soak(folder, SEED, SECONDS, faults)
+            return await run_soak(folder, SEED, SECONDS, faults)
 
     async def test_all_faults_break_no_promise(self) -> None:
         report = await self.run_soak(*ALL_FAULTS)
