--- a/seampond/demo/__main__.py
+++ b/seampond/demo/__main__.py
@@ -21,7 +21,7 @@
 
 
 def print_report(report: DemoReport) -> None:
-    """Print a row a tier."""
+    """Print one row per tier."""
     print(_ROW_FORMAT.format(*_HEADINGS))
     for number, tier in sorted(report.tiers.items()):
         refused = ', '.join(
@@ -41,28 +41,28 @@
 
 
 def print_curl_commands(fleet: Fleet) -> None:
-    """Print a line that works for each workspace and template."""
+    """Print a working curl command for each workspace and template."""
     configuration = fleet.entries[0].parts.holder.current
     url = fleet.entries[0].url
     for workspace in configuration.workspaces.values():
         key = fleet.keys[workspace.name]
         for name in workspace.parameters:
             template = configuration.templates[name]
-            words = f'curl -N -H "Authorization: Bearer {key}"'
+            command = f'curl -N -H "Authorization: Bearer {key}"'
             if not template.repeatable:
-                words = f'{words} -H "Idempotency-Key: $RANDOM"'
+                command = f'{command} -H "Idempotency-Key: $RANDOM"'
             if template.kind == 'service':
-                print(f"{words} -d '{{}}' {url}/services/{name}/check/1")
+                print(f"{command} -d '{{}}' {url}/services/{name}/check/1")
                 continue
             body = (
                 f'{{"model":"{name}","stream":true,'
                 '"messages":[{"role":"user","content":"hello"}]}'
             )
-            print(f"{words} -d '{body}' {url}/v1/chat/completions")
+            print(f"{command} -d '{body}' {url}/v1/chat/completions")
 
 
 async def run_demo(folder: Path, *, keep: bool, seed: int) -> int:
-    """Run the demo; 0 only if every promise held."""
+    """Run the demo; return 0 only if no promise was broken."""
     clock = Clock()
     async with run_fleet(folder, clock) as fleet:
         entries = len(fleet.entries)
@@ -84,7 +84,7 @@
 
 
 def main() -> int:
-    """Parse the arguments and run."""
+    """Parse the arguments and run the demo."""
     parser = argparse.ArgumentParser(description=__doc__)
     names = sorted(path.name for path in EXAMPLES.iterdir())
     parser.add_argument('--deployment', choices=names, default='fitlink-kochi')
--- a/seampond/demo/fleet.py
+++ b/seampond/demo/fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process, from its example folder."""
+"""Run all roles of an example deployment in one process."""
 
 import random
 import re
@@ -28,33 +28,33 @@
 _POLL_MS = 20
 _FIRST_PORT = 20_000
 _LAST_PORT = 32_000
-# Nothing listens here: a port that is bound here is another process's choice.
+# Ports are reserved by binding them on an address that no daemon listens on.
 _RESERVATION_HOST = '127.0.0.2'
 _reserved_ports: list[socket.socket] = []
 
 
 @dataclass
 class AgentSlot:
-    """The place of one agent, which may be replaced."""
+    """The settings and the running instance of one replaceable agent."""
 
     settings: AgentSettings
     clock: Clock
     stack: AsyncExitStack = field(default_factory=AsyncExitStack)
 
     async def start(self) -> RunningAgent:
-        """Start a new agent here."""
+        """Start a new agent with the settings of this slot."""
         return await self.stack.enter_async_context(
             run_agent(self.settings, self.clock)
         )
 
     async def stop(self) -> None:
-        """End the agent, whatever runs."""
+        """Stop the agent without draining it."""
         await self.stack.aclose()
 
 
 @dataclass(frozen=True)
 class Fleet:
-    """All roles of a deployment, running."""
+    """The running roles of a deployment."""
 
     platform: RunningPlatform
     engines: list[RunningEngine]
@@ -65,7 +65,7 @@
     broken_by_stopped_agents: list[int] = field(default_factory=list)
 
     async def replace_agent(self, index: int, *, planned: bool) -> None:
-        """End an agent and start a new one on its address."""
+        """Stop an agent and start a new one on its address."""
         if planned:
             await self.agents[index].drain()
         await self.agent_slots[index].stop()
@@ -74,7 +74,7 @@
 
     @property
     def promises_broken(self) -> int:
-        """Violations seen by any role."""
+        """Number of violations recorded by all roles."""
         agents = sum(agent.promises.broken for agent in self.agents)
         entries = sum(entry.parts.promises.broken for entry in self.entries)
         return agents + entries + sum(self.broken_by_stopped_agents)
@@ -90,7 +90,7 @@
 
 
 def _reserve_port(port: int) -> bool:
-    """Keep a port from being chosen again, by any process, until we end."""
+    """Reserve a port among all processes until this process ends."""
     reservation = socket.socket()
     try:
         reservation.bind((_RESERVATION_HOST, port))
@@ -102,12 +102,12 @@
 
 
 def free_ports() -> Iterator[int]:
-    """Give free ports, each once over all processes that choose so.
+    """Yield free ports, each at most once over all processes that use this.
 
     Explanation
     -----------
-    They lie below the range that the system hands to outgoing connections,
-    so that none is taken between the choice and its use.
+    The ports lie below the range of ephemeral ports, so that no outgoing
+    connection takes one before it is used.
     """
     start = random.randrange(_FIRST_PORT, _LAST_PORT)
     for port in (*range(start, _LAST_PORT), *range(_FIRST_PORT, start)):
@@ -116,12 +116,12 @@
 
 
 def copy_with_free_ports(source: Path, target: Path) -> None:
-    """Copy the settings of a deployment, each port changed to a free one.
+    """Copy the settings of a deployment, replacing each port by a free one.
 
     Explanation
     -----------
-    The same port becomes the same free port in all files, so that the
-    roles still find each other.
+    A port is replaced by the same free port in all files, so that the roles
+    still reach each other.
     """
     free_port_by_port: dict[str, int] = {}
     free = free_ports()
@@ -161,7 +161,7 @@
 
 @asynccontextmanager
 async def run_fleet(folder: Path, clock: Clock) -> AsyncIterator[Fleet]:
-    """Run every role of the deployment in `folder` in this process."""
+    """Run all roles of the deployment in `folder` in this process."""
 
     def paths(role: str) -> list[Path]:
         return sorted(folder.glob(f'{role}-*.toml'))
--- a/seampond/demo/load_generator.py
+++ b/seampond/demo/load_generator.py
@@ -1,4 +1,4 @@
-"""Send the demo's calls and check each answer against its own request."""
+"""Send the calls of the demo and check each response."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 @dataclass
 class TierReport:
-    """How the calls of one tier went."""
+    """Outcome counts and prompt tokens of the calls of one tier."""
 
     sent: int = 0
     in_time: int = 0
@@ -32,14 +32,14 @@
 
 @dataclass
 class DemoReport:
-    """All tiers, and what was wrong."""
+    """Reports of all tiers, and the violations found."""
 
     tiers: dict[int, TierReport] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     not_run: list[str] = field(default_factory=list)
 
     def tier(self, number: int) -> TierReport:
-        """Give the report of one tier."""
+        """Return the report of one tier."""
         return self.tiers.setdefault(number, TierReport())
 
 
@@ -82,7 +82,7 @@
 async def generate_load(
     fleet: Fleet, calls: list[Call], seconds: float, clock: Clock
 ) -> DemoReport:
-    """Send `calls` evenly over `seconds`, never waiting for answers."""
+    """Send `calls` evenly over `seconds`, without waiting for responses."""
     report = DemoReport()
 
     async def run(client: aiosonic.HTTPClient, call: Call) -> None:
--- a/seampond/demo/traffic.py
+++ b/seampond/demo/traffic.py
@@ -1,4 +1,4 @@
-"""What the demo sends: every template of a deployment, in its tier."""
+"""Traffic of the demo: calls to every template of a deployment."""
 
 import random
 from collections.abc import Iterator
@@ -28,7 +28,7 @@
 
     @property
     def idempotency_key(self) -> str:
-        """The idempotency key; empty where none is needed."""
+        """The idempotency key; empty for repeatable templates."""
         return '' if self.template.repeatable else f'demo-{self.number}'
 
 
@@ -38,7 +38,7 @@
     if template.repeatable:
         length = rng.choice((_SHORT_LENGTH, _MEDIUM_LENGTH))
         return f'{template.name} {rng.random()} '.ljust(length, 'x')
-    # A member's history comes back: the same head, another question.
+    # Prompts of one member share a long prefix, which a server can cache.
     member = rng.randrange(_HISTORY_COUNT)
     history = f'{workspace.name} {member} '.ljust(_HISTORY_LENGTH, 'h')
     return f'{history} question {rng.random()}'
@@ -54,7 +54,7 @@
 
 
 def make_calls(fleet: Fleet, count: int, seed: int) -> Iterator[Call]:
-    """Give `count` calls that take turns over workspaces and templates."""
+    """Yield `count` calls, cycling through workspaces and templates."""
     rng = random.Random(seed)
     pairs = _workspace_templates(fleet)
     for number in range(count):
--- a/seampond/demo/verify.py
+++ b/seampond/demo/verify.py
@@ -1,4 +1,4 @@
-"""Hold the demo's outcome against the engines' own count of runs."""
+"""Check the responses of a run against the executions by the engines."""
 
 from collections.abc import Iterable
 
@@ -8,14 +8,14 @@
 def find_violations(
     fleet: Fleet, reported_by_callers: Iterable[str], not_run: Iterable[str]
 ) -> list[str]:
-    """Give every promise that did not hold, as a line each.
+    """Return the violations found, one line each.
 
     Parameters
     ----------
     reported_by_callers : Iterable[str]
-        What the callers found wrong themselves.
+        Violations that the callers found.
     not_run : Iterable[str]
-        Ids of the requests that were refused as not run.
+        Ids of the requests that were rejected as not run.
 
     """
     violations = list(reported_by_callers)
--- a/seampond/slopes/__init__.py
+++ b/seampond/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Measured slopes: what one more of each thing costs."""
+"""Benchmarks of the marginal cost of links, requests, tokens and rows."""
--- a/seampond/slopes/__main__.py
+++ b/seampond/slopes/__main__.py
@@ -38,7 +38,7 @@
 
 
 def main() -> int:
-    """Measure and print a line a slope, or JSON."""
+    """Measure all slopes and print them as tables or JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--json', action='store_true')
     options = parser.parse_args()
--- a/seampond/slopes/capacity.py
+++ b/seampond/slopes/capacity.py
@@ -1,4 +1,4 @@
-"""Work out the target's figures from measured slopes."""
+"""Compute resource use of a deployment from measured slopes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class DeploymentSize:
-    """A size of deployment."""
+    """Numbers that describe the size and load of a deployment."""
 
     name: str
     entries: int
@@ -34,13 +34,13 @@
 
     @property
     def links_per_entry(self) -> int:
-        """Links of one entry: 24 for each pool, or all."""
+        """Number of links of one entry: at most 24 per pool."""
         links_per_pool = min(24, self.agents // self.pools)
         return links_per_pool * self.pools
 
     @property
     def links_per_agent(self) -> float:
-        """Links of one agent."""
+        """Mean number of links of one agent."""
         return self.links_per_entry * self.entries / self.agents
 
     @property
@@ -226,7 +226,7 @@
 
 
 def compute_figures(slopes: Slopes) -> list[Figure]:
-    """Give the rows of the capacity page."""
+    """Return the rows of the capacity page."""
     rows = []
     for role, labels, compute_rows in (
         ('entry', _ENTRY_LABELS, _entry_rows),
--- a/seampond/slopes/gateway_fleet.py
+++ b/seampond/slopes/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""All that one gateway needs to run in a fleet of stand-ins."""
+"""A stand-in fleet around one gateway process."""
 
 import asyncio
 import random
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class FleetSize:
-    """How large the fleet is."""
+    """Number of gateways, servers and workspaces of a fleet."""
 
     gateways: int
     servers: int
@@ -62,7 +62,7 @@
 def build_heartbeat(
     sizes: FleetSize, name: str, incarnation: int, sequence: int
 ) -> Heartbeat:
-    """Give what a busy gateway would tell."""
+    """Return a heartbeat such as a loaded gateway sends."""
     rng = random.Random(incarnation)
     loaded_servers = rng.sample(
         range(sizes.servers), min(_SERVERS_PER_HEARTBEAT, sizes.servers)
@@ -95,7 +95,7 @@
 def fill_store(
     store: StandInStore, sizes: FleetSize, server: str, peers: str
 ) -> None:
-    """Write the rows of the whole fleet."""
+    """Store the configuration, the servers and the other gateways."""
     put_configuration(store, ConfigurationRow(other_tenants=sizes.workspaces))
     for number in range(sizes.servers):
         put_server(store, f'i-{number}', server, slots=_SLOTS)
@@ -104,7 +104,7 @@
 
 
 async def simulate_peers(sizes: FleetSize, port: int) -> None:
-    """Tell what all other gateways would, spread over their pace."""
+    """Send the heartbeats of all other gateways, evenly over time."""
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
         asyncio.DatagramProtocol, remote_addr=('127.0.0.1', port)
@@ -126,7 +126,7 @@
 
 
 async def simulate_callers(client: aiosonic.HTTPClient, port: int) -> None:
-    """Ask some times a second."""
+    """Send requests to the gateway at a constant rate."""
     number = 0
     while True:
         number += 1
@@ -160,12 +160,20 @@
 
 @asynccontextmanager
 async def run_fleet(sizes: FleetSize, folder: Path) -> AsyncIterator[list[str]]:
-    """Run all but the gateway; give the words that start it."""
+    """Run the fleet without the gateway.
+
+    Yields
+    ------
+    list[str]
+        The arguments that start the gateway: its settings file and the file
+        for its profile.
+
+    """
     ports = tuple(islice(free_ports(), _PORT_COUNT))
-    sink, _ = await asyncio.get_running_loop().create_datagram_endpoint(
+    receiver, _ = await asyncio.get_running_loop().create_datagram_endpoint(
         asyncio.DatagramProtocol, local_addr=('127.0.0.1', 0)
     )
-    host, port = sink.get_extra_info('sockname')[:2]
+    host, port = receiver.get_extra_info('sockname')[:2]
     async with (
         run_store() as store,
         run_scripted(_serve) as server,
@@ -182,4 +190,4 @@
         finally:
             for task in tasks:
                 task.cancel()
-            sink.close()
+            receiver.close()
--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -20,7 +20,7 @@
 from seampond.gateway.__main__ import main as run_gateway
 from seampond.slopes.gateway_fleet import FleetSize, run_fleet
 
-# Linux counts the processor time of processes in hundredths of a second.
+# Unit of the CPU times in /proc/PID/stat (USER_HZ).
 _CLOCK_TICKS_PER_S = 100
 _WARM_UP_S = 3
 _MEASUREMENT_S = 10
@@ -44,14 +44,14 @@
 
 
 def read_cpu_seconds(pid: int) -> float:
-    """Give the processor time that a process has taken."""
+    """Return the CPU time that a process has used."""
     stat_text = Path(f'/proc/{pid}/stat').read_text(encoding='utf-8')
     user_ticks, system_ticks = stat_text.rpartition(')')[2].split()[11:13]
     return (int(user_ticks) + int(system_ticks)) / _CLOCK_TICKS_PER_S
 
 
 async def measure_cpu_share(pid: int) -> float:
-    """Give the share of a core that a process takes, once it is warm."""
+    """Return the fraction of a core that a process uses after warm-up."""
     await asyncio.sleep(_WARM_UP_S)
     before = read_cpu_seconds(pid)
     await asyncio.sleep(_MEASUREMENT_S)
@@ -61,7 +61,7 @@
 async def measure_fleet(
     sizes: FleetSize, *, is_profiled: bool
 ) -> tuple[float, str]:
-    """Play one fleet; give the share of a core, and the profile's file."""
+    """Run one fleet; return the fraction of a core and the profile path."""
     folder = Path(tempfile.mkdtemp())
     async with run_fleet(sizes, folder) as arguments:
         if not is_profiled:
@@ -71,15 +71,15 @@
             stdout=subprocess.DEVNULL,
         )
         try:
-            share = await measure_cpu_share(process.pid)
+            cores = await measure_cpu_share(process.pid)
         finally:
             process.send_signal(signal.SIGTERM)
             await asyncio.to_thread(process.wait)
-    return share, str(folder / 'profile')
+    return cores, str(folder / 'profile')
 
 
 def run_gateway_child(arguments: list[str]) -> int:
-    """Run the gateway, under the profiler if a file is named for it."""
+    """Run the gateway, under the profiler if a profile path is given."""
     if len(arguments) == 1:
         return run_gateway(arguments)
     profile = cProfile.Profile()
@@ -94,7 +94,7 @@
 def sum_matching(
     table: dict[Any, Any], function_name: str
 ) -> tuple[int, float]:
-    """Give calls and seconds of the functions that a text names."""
+    """Return calls and seconds of functions matching `module:function`."""
     module, _, function = function_name.rpartition(':')
     calls, seconds = 0, 0
     for (path, _, name), row in table.items():
@@ -105,7 +105,7 @@
 
 
 def format_profile(path: str) -> list[str]:
-    """Give a line for each group of functions: calls, seconds."""
+    """Return one line per function group with its calls and seconds."""
     table = pstats.Stats(path).stats  # type: ignore[attr-defined]
     lines = []
     for title, function_name in _FUNCTION_GROUPS:
@@ -115,7 +115,7 @@
 
 
 def main() -> None:
-    """Play each size twice and print a table for each."""
+    """Run a fleet of each size twice and print its costs."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--gateways', default='4,30,68,300')
     parser.add_argument('--workspaces', type=int, default=_WORKSPACES)
@@ -128,9 +128,9 @@
         sizes = FleetSize(
             count, round(count * _SERVERS_PER_GATEWAY), options.workspaces
         )
-        share, _ = asyncio.run(measure_fleet(sizes, is_profiled=False))
+        cores, _ = asyncio.run(measure_fleet(sizes, is_profiled=False))
         print(
-            f'{count} gateways, {sizes.servers} servers: {share:.3f} of a core'
+            f'{count} gateways, {sizes.servers} servers: {cores:.3f} of a core'
         )
         _, path = asyncio.run(measure_fleet(sizes, is_profiled=True))
         print('\n'.join(format_profile(path)))
--- a/seampond/slopes/links.py
+++ b/seampond/slopes/links.py
@@ -1,4 +1,4 @@
-"""Memory and processor time of links between two real ends."""
+"""Memory and CPU time of links, configuration polls and VM lists."""
 
 import asyncio
 import gzip
@@ -19,49 +19,49 @@
 from seampond.templates import Configuration
 from seampond.templates.follow import read_changes
 
-_LINKS = 400
-_BEATS = 20
-_KIB = 1024
-_POLLS = 300
-_VMS = 4240
+_LINK_COUNT = 400
+_HEARTBEATS_PER_LINK = 20
+_BYTES_PER_KIB = 1024
+_POLL_COUNT = 300
+_VM_COUNT = 4240
 
 
 def peak_resident_bytes() -> int:
-    """Give the largest resident size of this process so far."""
-    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _KIB
+    """Return the peak resident size of this process."""
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _BYTES_PER_KIB
 
 
 async def measure_links() -> list[Slope]:
-    """Open links, both ends here, and let each beat in turn."""
-    ends: list[Connection] = []
+    """Measure memory and heartbeat cost of links within this process."""
+    server_links: list[Connection] = []
 
     async def accept(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        ends.append(Connection(reader, writer, Clock()))
+        server_links.append(Connection(reader, writer, Clock()))
 
     server = await asyncio.start_server(accept, '127.0.0.1', 0)
     port = server.sockets[0].getsockname()[1]
     before = peak_resident_bytes()
-    dialed = []
-    for _ in range(_LINKS):
+    client_links = []
+    for _ in range(_LINK_COUNT):
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
-        dialed.append(Connection(reader, writer, Clock()))
-    while len(ends) < _LINKS:
+        client_links.append(Connection(reader, writer, Clock()))
+    while len(server_links) < _LINK_COUNT:
         await asyncio.sleep(0)
-    grown = peak_resident_bytes() - before
-    cost = await _exchange_heartbeats(dialed, ends)
-    for link in (*dialed, *ends):
+    growth_bytes = peak_resident_bytes() - before
+    cost = await _exchange_heartbeats(client_links, server_links)
+    for link in (*client_links, *server_links):
         await link.close()
     server.close()
     return [
-        Slope('link, both ends', grown / _LINKS, 'bytes'),
+        Slope('link, both ends', growth_bytes / _LINK_COUNT, 'bytes'),
         Slope('heartbeat, sent and received', cost, 'us'),
     ]
 
 
 async def measure_polls() -> list[Slope]:
-    """Poll a stand-in that has nothing new; and weigh a VM list."""
+    """Measure polls without changes and the compressed size of a VM row."""
     settings = PlatformStandInSettings(
         listen='127.0.0.1:0', list_lag_ms=0, answer_delay_ms=0
     )
@@ -72,10 +72,12 @@
             tables = http_tables(caller)
             await read_changes(tables, Configuration(1))
             started = time.process_time()
-            for _ in range(_POLLS):
+            for _ in range(_POLL_COUNT):
                 await read_changes(tables, Configuration(1))
-            spent = time.process_time() - started
-    poll = Slope('configuration poll', spent / _POLLS * MICROSECONDS, 'us')
+            cpu_seconds = time.process_time() - started
+    poll = Slope(
+        'configuration poll', cpu_seconds / _POLL_COUNT * MICROSECONDS, 'us'
+    )
     return [poll, _measure_vm_row()]
 
 
@@ -89,19 +91,21 @@
             address='10.{0}.{1}.{2}:7000'.format(*rng.choices(range(256), k=3)),
             pool=f'model-{number % 12}',
         ).model_dump()
-        for number in range(_VMS)
+        for number in range(_VM_COUNT)
     ]
-    packed = gzip.compress(json.dumps(rows).encode())
-    return Slope('VM row, compressed', len(packed) / _VMS, 'bytes')
+    compressed = gzip.compress(json.dumps(rows).encode())
+    return Slope('VM row, compressed', len(compressed) / _VM_COUNT, 'bytes')
 
 
 async def _exchange_heartbeats(
-    dialed: list[Connection], ends: list[Connection]
+    client_links: list[Connection], server_links: list[Connection]
 ) -> float:
     started = time.process_time()
-    for _ in range(_BEATS):
-        for link in dialed:
+    for _ in range(_HEARTBEATS_PER_LINK):
+        for link in client_links:
             link.send(Pulse(1, 2, 3, 4, False, 5, 6))
-        await asyncio.gather(*(end.receive() for end in ends))
-    spent = time.process_time() - started
-    return spent / _BEATS / _LINKS * MICROSECONDS
+        await asyncio.gather(
+            *(server_link.receive() for server_link in server_links)
+        )
+    cpu_seconds = time.process_time() - started
+    return cpu_seconds / _HEARTBEATS_PER_LINK / _LINK_COUNT * MICROSECONDS
--- a/seampond/slopes/memory.py
+++ b/seampond/slopes/memory.py
@@ -1,4 +1,4 @@
-"""Memory of one more of each thing, by the allocator's own count."""
+"""Memory per object, measured with tracemalloc."""
 
 import gc
 import json
@@ -18,23 +18,23 @@
     build_ticket,
 )
 
-_COUNT = 1000
+_OBJECT_COUNT = 1000
 _STREAM_FRAMES = 100
 _FRAME_BYTES = 180
-_BYTES = 'bytes'
+_BYTES_UNIT = 'bytes'
 
 
 def measure_bytes_each(
-    build: Callable[[int], Any], count: int = _COUNT
+    build: Callable[[int], Any], count: int = _OBJECT_COUNT
 ) -> float:
-    """Give the bytes held by each of `count` built things."""
+    """Return the mean memory of `count` objects made by `build`."""
     build(0)
     gc.collect()
     tracemalloc.start()
-    kept = [build(number) for number in range(count)]
-    held, _ = tracemalloc.get_traced_memory()
+    built = [build(number) for number in range(count)]
+    held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / len(kept)
+    return held_bytes / len(built)
 
 
 def _build_run(number: int) -> Run:
@@ -53,12 +53,14 @@
 
 def _measure_workspace() -> list[Slope]:
     count = 2000
-    held = measure_bytes_each(lambda _: build_configuration(count), 1) / count
+    held_bytes = (
+        measure_bytes_each(lambda _: build_configuration(count), 1) / count
+    )
     workspace = build_configuration(1).workspaces['workspace-0']
     row = json.dumps(workspace.model_dump(mode='json'))
     return [
-        Slope('workspace in a configuration', held, _BYTES),
-        Slope('workspace row as JSON', len(row), _BYTES),
+        Slope('workspace in a configuration', held_bytes, _BYTES_UNIT),
+        Slope('workspace row as JSON', len(row), _BYTES_UNIT),
     ]
 
 
@@ -75,24 +77,24 @@
 
 
 def measure_memory() -> list[Slope]:
-    """Measure what grows with members, requests, streams and workspaces."""
+    """Measure the memory of VMs, peers, requests, runs and workspaces."""
     return [
-        Slope('VM in the list', measure_bytes_each(_build_vm), _BYTES),
+        Slope('VM in the list', measure_bytes_each(_build_vm), _BYTES_UNIT),
         Slope(
             'peer without its link',
             measure_bytes_each(lambda number: Peer(_build_vm(number))),
-            _BYTES,
+            _BYTES_UNIT,
         ),
         Slope(
             'waiting request without its body',
             measure_bytes_each(lambda number: build_ticket(f'{number:032}')),
-            _BYTES,
+            _BYTES_UNIT,
         ),
         Slope(
             'run of 100 frames kept by the agent',
             measure_bytes_each(_build_run),
-            _BYTES,
+            _BYTES_UNIT,
         ),
-        Slope('two buckets of a limit', _measure_bucket(), _BYTES),
+        Slope('two buckets of a limit', _measure_bucket(), _BYTES_UNIT),
         *_measure_workspace(),
     ]
--- a/seampond/slopes/processor.py
+++ b/seampond/slopes/processor.py
@@ -1,4 +1,4 @@
-"""Processor time a message and a change, in this process."""
+"""CPU time of messages and configuration changes."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -18,16 +18,16 @@
 from seampond.templates.configuration import Change, apply_changes
 
 MICROSECONDS = 1_000_000
-LENGTH_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 _ROUNDS = 5
-_CALLS = 2000
+_CALL_COUNT = 2000
 _TARGET_WORKSPACES = 2900
 _FRAME_PAYLOAD = b'data: {"choices": [{"delta": "word"}]}' * 4
 
 
 @dataclass(frozen=True)
 class Slope:
-    """One measured slope."""
+    """The measured cost of one more unit of something."""
 
     name: str
     value: float
@@ -35,18 +35,18 @@
 
 
 def time_call_us(call: Callable[[], Any], count: int) -> float:
-    """Give the processor time of one call in microseconds, best of five."""
-    best = float('inf')
+    """Return the CPU time of one call in microseconds, best of five."""
+    best_seconds = float('inf')
     for _ in range(_ROUNDS):
         started = time.process_time()
         for _ in range(count):
             call()
-        best = min(best, time.process_time() - started)
-    return best / count * MICROSECONDS
+        best_seconds = min(best_seconds, time.process_time() - started)
+    return best_seconds / count * MICROSECONDS
 
 
 def build_configuration(workspaces: int) -> Configuration:
-    """Give a configuration of `workspaces`, four parameters each."""
+    """Return a configuration of `workspaces` with four parameters each."""
     parameters = {f'template-{number}': {'tier': 3} for number in range(4)}
     template = Template(name='template-1', pool='llm')
     return Configuration(
@@ -66,7 +66,7 @@
 
 
 def measure_messages() -> list[Slope]:
-    """Measure bytes and time of the messages that matter."""
+    """Measure the size and the coding time of frequent messages."""
     pulse = [Pulse(1, 2, 3, 4, False, 5, 6)]
     reserve = [Reserve('a' * 32, 1, 3, 1000, 500, 'b' * 32)]
     withdraw = [Withdraw('a' * 32, 1)]
@@ -85,18 +85,18 @@
 
 def _measure_batch(name: str, batch: Sequence[Message]) -> list[Slope]:
     packet = encode(batch)
-    count = _CALLS // len(batch)
+    count = _CALL_COUNT // len(batch)
     encoding = time_call_us(lambda: encode(batch), count)
     decoding = time_call_us(lambda: decode(packet), count)
     return [
         Slope(f'{name}: encode', encoding, 'us'),
         Slope(f'{name}: decode', decoding, 'us'),
-        Slope(f'{name}: size', len(packet) + LENGTH_BYTES, 'bytes'),
+        Slope(f'{name}: size', len(packet) + LENGTH_PREFIX_BYTES, 'bytes'),
     ]
 
 
 def measure_change() -> list[Slope]:
-    """Measure one configuration change at the target's size."""
+    """Measure one configuration change with 2,900 workspaces."""
     configuration = build_configuration(_TARGET_WORKSPACES)
     row = configuration.workspaces['workspace-7'].model_dump(mode='json')
     change = Change(2, 'workspaces', 'workspace-7', row, 'author', 'token')
--- a/seampond/slopes/roles.py
+++ b/seampond/slopes/roles.py
@@ -1,4 +1,4 @@
-"""Processor time of each role, from separate processes under load."""
+"""CPU time and memory of each role as a process under load."""
 
 import asyncio
 import re
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class ResourceUsage:
-    """Processor seconds and resident bytes, summed over a role."""
+    """CPU time, and resident size of the largest process, of one role."""
 
     cpu_seconds: float
-    peak_bytes: float
+    max_resident_bytes: float
 
 
 def _fetch_metrics(processes: Processes, name: str) -> str:
@@ -56,7 +56,7 @@
 
 
 def read_usage(processes: Processes, names: tuple[str, ...]) -> ResourceUsage:
-    """Read the processes' own metrics."""
+    """Return resource usage from the metrics of the processes."""
     pages = [_fetch_metrics(processes, name) for name in names]
     return ResourceUsage(
         sum(_parse_metric(_CPU_SECONDS_PATTERN, page) for page in pages),
@@ -65,19 +65,19 @@
 
 
 async def _send(caller: Caller, chat: ChatRequest, count: int) -> None:
-    gate = asyncio.Semaphore(_MAX_CONCURRENT)
+    semaphore = asyncio.Semaphore(_MAX_CONCURRENT)
 
-    async def one() -> None:
-        async with gate:
+    async def send_one() -> None:
+        async with semaphore:
             check_chat(chat, await caller.chat(chat))
 
-    await asyncio.gather(*(one() for _ in range(count)))
+    await asyncio.gather(*(send_one() for _ in range(count)))
 
 
 async def _measure_unit_cost(
     processes: Processes, load: Callable[[], Awaitable[None]], count: int
 ) -> tuple[float, float]:
-    """Give microseconds for each unit of load, at entries and at agents."""
+    """Return microseconds per unit of load at entries and at agents."""
     entries = read_usage(processes, _ENTRIES).cpu_seconds
     agents = read_usage(processes, _AGENTS).cpu_seconds
     await load()
@@ -106,16 +106,18 @@
         caller = Caller(processes.url('entry-1'), key, client)
         while not (await caller.chat(ChatRequest('trainer-answer'))).is_ok:
             await asyncio.sleep(1 / _MAX_CONCURRENT)
-        few = ChatRequest('trainer-answer', max_tokens=_FEW_TOKENS)
-        many = ChatRequest('trainer-answer', max_tokens=_MANY_TOKENS)
-        await _send(caller, few, _STREAM_COUNT)
+        short_chat = ChatRequest('trainer-answer', max_tokens=_FEW_TOKENS)
+        long_chat = ChatRequest('trainer-answer', max_tokens=_MANY_TOKENS)
+        await _send(caller, short_chat, _STREAM_COUNT)
         request = await _measure_unit_cost(
             processes,
-            lambda: _send(caller, few, _REQUEST_COUNT),
+            lambda: _send(caller, short_chat, _REQUEST_COUNT),
             _REQUEST_COUNT,
         )
         stream = await _measure_unit_cost(
-            processes, lambda: _send(caller, many, _STREAM_COUNT), _STREAM_COUNT
+            processes,
+            lambda: _send(caller, long_chat, _STREAM_COUNT),
+            _STREAM_COUNT,
         )
     frames = _MANY_TOKENS - _FEW_TOKENS
     return [
@@ -127,7 +129,10 @@
 
 
 def _measure_command(processes: Processes) -> Slope:
-    """Measure one operators' command, the first child to end."""
+    """Measure one operators' command.
+
+    RUSAGE_CHILDREN counts only children that have ended, so this runs first.
+    """
     processes.run_command('template', 'list')
     used = resource.getrusage(resource.RUSAGE_CHILDREN)
     cpu_seconds = used.ru_utime + used.ru_stime
@@ -147,7 +152,7 @@
 
 
 def measure_roles(folder: Path) -> list[Slope]:
-    """Run the example as processes; measure idle, requests and tokens."""
+    """Measure idle cost, requests and tokens of an example deployment."""
     with run_processes(folder, 'fitlink-kochi', _raise_rates) as processes:
         command = _measure_command(processes)
         key = processes.run_command('workspace', 'key', 'trainers')['key']
@@ -161,7 +166,7 @@
     return [
         command,
         *idle,
-        Slope('entry: memory after load', entries.peak_bytes, 'bytes'),
-        Slope('agent: memory after load', agents.peak_bytes, 'bytes'),
+        Slope('entry: memory after load', entries.max_resident_bytes, 'bytes'),
+        Slope('agent: memory after load', agents.max_resident_bytes, 'bytes'),
         *loaded,
     ]
--- a/seampond/soak/__init__.py
+++ b/seampond/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Long randomised runs: traffic and seeded faults, promises checked."""
+"""Randomized soak tests: traffic under seeded faults."""
--- a/seampond/soak/__main__.py
+++ b/seampond/soak/__main__.py
@@ -27,23 +27,23 @@
 async def run_soak(
     folder: Path, seed: int, seconds: float, faults: tuple[Fault, ...]
 ) -> SoakReport:
-    """Run one soak.
+    """Run one soak test.
 
     Parameters
     ----------
     folder : Path
         The settings of a deployment.
     seed : int
-        Decides traffic and faults; the interleaving is the machine's.
+        Seed of traffic and faults; the interleaving of tasks stays random.
     seconds : float
-        How long traffic and faults last.
+        The duration of traffic and faults.
     faults : tuple[Fault, ...]
         The faults to choose from.
 
     Returns
     -------
     SoakReport
-        What was seen; `violations` is empty if every promise held.
+        The counts and `violations`, empty if no promise was broken.
 
     """
     clock = Clock()
@@ -68,7 +68,7 @@
 
 
 def print_report(report: SoakReport, seed: int) -> None:
-    """Print what was sent, injected, answered and wrong."""
+    """Print the counts of requests, faults and outcomes, and violations."""
     print(f'seed {seed}: {report.sent} requests')
     for name, count in sorted(report.faults.items()):
         print(f'  fault {name}: {count}')
@@ -79,7 +79,7 @@
 
 
 def main() -> int:
-    """Parse the arguments, run, report; 1 if a promise was broken."""
+    """Run a soak test and print its report; return 1 on a violation."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--minutes', type=float, default=1)
--- a/seampond/soak/faults.py
+++ b/seampond/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a soak injects, each undone after a while."""
+"""Faults that a soak test injects for a limited time."""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -12,13 +12,13 @@
 from seampond.testing.engine.app import Engine, EngineFaults
 
 _SLOWDOWN = 10
-_SOME_ANSWERS = 3
-_SLOW_MS = 400
+_AFFECTED_RESPONSES = 3
+_DELAY_MS = 400
 
 
 @dataclass(frozen=True)
 class FaultContext:
-    """What faults act upon."""
+    """The fleet under test and the faults to choose from."""
 
     fleet: Fleet
     rng: random.Random
@@ -27,7 +27,7 @@
 
     @property
     def model_engine(self) -> Engine:
-        """One of the model engines."""
+        """A random model engine of the fleet."""
         models = [
             running.engine
             for running in self.fleet.engines
@@ -66,47 +66,47 @@
 
 
 def slow_engine(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """An engine runs at a tenth of its speed."""
+    """Slow an engine down to a tenth of its speed."""
     return _engine_fault(context.model_engine, EngineFaults(slowdown=_SLOWDOWN))
 
 
 def short_answers(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """Some answers of an engine end short."""
+    """Truncate some responses of an engine."""
     return _engine_fault(
-        context.model_engine, EngineFaults(short=_SOME_ANSWERS)
+        context.model_engine, EngineFaults(short=_AFFECTED_RESPONSES)
     )
 
 
 def crossed_answers(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """Some answers of an engine are for another request."""
-    faults = EngineFaults(crossed=_SOME_ANSWERS)
+    """Answer some requests to an engine with the response of another."""
+    faults = EngineFaults(crossed=_AFFECTED_RESPONSES)
     return _engine_fault(context.model_engine, faults)
 
 
 def failing_engine(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """Some requests to an engine fail."""
-    faults = EngineFaults(failing=_SOME_ANSWERS)
+    """Fail some requests to an engine."""
+    faults = EngineFaults(failing=_AFFECTED_RESPONSES)
     return _engine_fault(context.model_engine, faults)
 
 
 def platform_down(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """The platform's services do not answer."""
+    """Make the platform's services unreachable."""
     return _platform_fault(context, Faults(down=True))
 
 
 def platform_slow(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """The platform's services are slow."""
-    return _platform_fault(context, Faults(slow_ms=_SLOW_MS))
+    """Delay the responses of the platform's services."""
+    return _platform_fault(context, Faults(slow_ms=_DELAY_MS))
 
 
 def lost_answers(context: FaultContext) -> AbstractAsyncContextManager[None]:
-    """Some writes take effect and nobody hears."""
-    return _platform_fault(context, Faults(lose_answers=_SOME_ANSWERS))
+    """Apply some writes to the platform but lose the responses."""
+    return _platform_fault(context, Faults(lose_answers=_AFFECTED_RESPONSES))
 
 
 @asynccontextmanager
 async def cut_links(context: FaultContext) -> AsyncIterator[None]:
-    """All links of one agent are cut at this moment."""
+    """Abort all links of one agent."""
     running = context.rng.choice(context.fleet.agents)
     for entry in list(running.agent.entries):
         entry.link.abort()
@@ -115,7 +115,7 @@
 
 @asynccontextmanager
 async def replaced_agent(context: FaultContext) -> AsyncIterator[None]:
-    """An agent ends without a planned stop; a new one takes its address."""
+    """Stop an agent without draining; start a new one on its address."""
     index = context.rng.randrange(len(context.fleet.agents))
     await context.fleet.replace_agent(index, planned=False)
     yield
@@ -123,7 +123,7 @@
 
 @asynccontextmanager
 async def rolled_agent(context: FaultContext) -> AsyncIterator[None]:
-    """An agent makes a planned stop; a new one takes its address."""
+    """Drain and stop an agent; start a new one on its address."""
     index = context.rng.randrange(len(context.fleet.agents))
     await context.fleet.replace_agent(index, planned=True)
     yield
@@ -149,7 +149,7 @@
 async def inject_faults(
     context: FaultContext, until_ms: int, counts: dict[str, int]
 ) -> None:
-    """Inject faults, one or two at a time, until `until_ms`."""
+    """Inject one or two faults at a time until `until_ms`."""
     while context.clock.now() < until_ms:
         most = min(2, len(context.faults))
         chosen = context.rng.sample(
--- a/seampond/soak/load_generator.py
+++ b/seampond/soak/load_generator.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they try again as real ones would, with one key."""
+"""Callers of a soak test, with retries under one idempotency key."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 @dataclass
 class SoakReport:
-    """What the callers saw."""
+    """Counts and violations recorded by the callers."""
 
     sent: int = 0
     outcomes: 'Counter[str]' = field(default_factory=Counter)
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class LoadGenerator:
-    """What driving needs."""
+    """Sends calls to a fleet and records their outcomes."""
 
     fleet: Fleet
     client: aiosonic.HTTPClient
@@ -46,7 +46,7 @@
     report: SoakReport
 
     async def send_with_retries(self, call: Call) -> None:
-        """Send one call; unrepeatable work is tried again by its key."""
+        """Send one call; retry it if it has an idempotency key."""
         for attempt in range(_MAX_ATTEMPTS):
             entry = (call.entry + attempt) % len(self.fleet.entries)
             is_over = await self._attempt(call, entry)
@@ -100,7 +100,7 @@
 
 
 async def generate_load(generator: LoadGenerator, until_ms: int) -> None:
-    """Send calls in open loop, up to a bound at once, until `until_ms`."""
+    """Send calls in open loop, with bounded concurrency, until `until_ms`."""
     running: set[asyncio.Task[None]] = set()
     calls = make_calls(
         generator.fleet, 1_000_000, generator.rng.randrange(2**30)
--- a/seampond/soak/tests/test_soak.py
+++ b/seampond/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short randomised runs; long ones are `bin/soak`."""
+"""Short soak tests; `bin/soak` runs long ones."""
 
 import tempfile
 import unittest
@@ -21,12 +21,14 @@
             copy_with_free_ports(EXAMPLES / 'blue-mahoe', folder)
             return await run_soak(folder, SEED, SECONDS, faults)
 
-    async def test_all_faults_break_no_promise(self) -> None:
+    async def test_no_promise_is_broken_under_all_faults(self) -> None:
         report = await self.run_soak(*ALL_FAULTS)
         self.assertEqual(report.violations, [])
         self.assertGreater(report.outcomes['whole'], 0)
 
-    async def test_planned_stops_and_cut_links_cut_no_answer(self) -> None:
+    async def test_drained_agents_and_aborted_links_lose_no_response(
+        self,
+    ) -> None:
         report = await self.run_soak(rolled_agent, cut_links)
         self.assertEqual(report.violations, [])
         self.assertEqual(report.outcomes['broken'], 0)
