--- a/seampond/testing/signalling.py
+++ b/seampond/testing/signalling.py
@@ -100,7 +100,7 @@
 
     @property
     def is_row_draining(self) -> bool:
-        """Whether this incarnation's row has said that it drains."""
+        """Whether this incarnation's row is in the draining state."""
         return self._row_drained_ms == self.started_ms
 
     async def start(self) -> None:
@@ -111,7 +111,7 @@
         await super().start()
 
     def put_row(self, **changes: Any) -> None:
-        """Write the server's row and record whether it says draining."""
+        """Write the server's row and record if its state is draining."""
         if changes.get('state') == DRAINING_STATE:
             self._row_drained_ms = self.started_ms
         super().put_row(**changes)
--- a/seampond/testing/soak_faults.py
+++ b/seampond/testing/soak_faults.py
@@ -15,7 +15,7 @@
 from seampond.testing.signalling import SignallingFleet
 from seampond.testing.store import StandInStore
 
-# Longest time between a drain signal and the row, and from there to the end.
+# Longest delay of the row after the drain signal, and time until the crash.
 _DRAIN_STEP_MS = 2500
 _DRAINING_ROW_PROBABILITY = 0.7
 _DOWNGRADE_PROBABILITY = 0.3
@@ -53,6 +53,7 @@
         disrupted_ms.append(self.clock.now())
 
 
+# Reports print the names of the fault functions.
 async def _kill(context: SoakContext) -> None:
     gateway = context.rng.choice(context.gateways)
     context.send_signal(gateway, signal.SIGKILL)
--- a/seampond/testing/tests/test_caller.py
+++ b/seampond/testing/tests/test_caller.py
@@ -13,7 +13,7 @@
 
 
 class CheckChatTest(unittest.TestCase):
-    """Guards against messages that confuse refusals and cut streams."""
+    """Guards against messages that confuse refusals and broken streams."""
 
     def check_message(self, reply: Reply, *parts: str) -> None:
         """Check that the error message contains the given parts."""
@@ -30,10 +30,10 @@
         )
 
     def test_empty_answer(self) -> None:
-        """The message differs from that of a cut stream."""
+        """The message differs from that of an interrupted stream."""
         self.check_message(Reply(200, '', b''), 'request unknown', '0 bytes')
 
-    def test_stream_that_was_cut(self) -> None:
+    def test_interrupted_stream(self) -> None:
         """The message has the status and size of what was received."""
         self.check_message(
             Reply(200, 'q1', b'data: {"choices": []}\n\n'),
--- a/seampond/testing/tests/test_known_red.py
+++ b/seampond/testing/tests/test_known_red.py
@@ -33,7 +33,7 @@
 class KnownRedTest(unittest.TestCase):
     """Guards against listed tests that are skipped or misreported."""
 
-    def run_one(self, test: unittest.TestCase) -> Verdict:
+    def run_test(self, test: unittest.TestCase) -> Verdict:
         """Run a test and return its verdict."""
         tally = run_listed([test.id()], [test], _TIMES)[0]
         self.assertEqual(tally.runs, _TIMES)
@@ -48,7 +48,7 @@
             ('check_passing', Verdict.passing),
         ):
             with self.subTest(name):
-                self.assertIs(self.run_one(_Case(name)), verdict)
+                self.assertIs(self.run_test(_Case(name)), verdict)
 
     def test_entry_without_a_test(self) -> None:
         """It is reported as missing, not as passing."""
--- a/seampond/testing/tests/test_ports.py
+++ b/seampond/testing/tests/test_ports.py
@@ -14,7 +14,7 @@
 class FreePortsTest(unittest.TestCase):
     """Guards against two deployments that choose the same port."""
 
-    def test_two_that_choose_before_either_listens(self) -> None:
+    def test_allocations_before_either_listens(self) -> None:
         """They get different ports, even from the same random start."""
         with patch.object(random, 'randrange', return_value=_START):
             chosen = [set(islice(free_ports(), _PORTS)) for _ in range(2)]
