--- a/bin/ablate.py
+++ b/bin/ablate.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """One mechanism that decides, and how it is switched off."""
+    """One mechanism and the source edit that disables it."""
 
     name: str
     module: str
@@ -28,7 +28,7 @@
 
     @property
     def path(self) -> Path:
-        """The file that holds it."""
+        """The source file of the mechanism."""
         return PACKAGE / self.module
 
 
@@ -134,7 +134,7 @@
 
 @contextmanager
 def disable(mechanism: Mechanism) -> Iterator[None]:
-    """Change the lines for the time of the `with`."""
+    """Replace the source of a mechanism within the `with` block."""
     text = mechanism.path.read_text(encoding='utf-8')
     if text.count(mechanism.source) != 1:
         sys.exit(f'{mechanism.name}: its lines are not in {mechanism.path}')
@@ -147,7 +147,7 @@
 
 
 def run_days(reason: str, arguments: list[str]) -> None:
-    """Play the days; the lines of `bin/play.py` are printed."""
+    """Run `bin/play.py`, which prints a line for each day."""
     script = str(Path(__file__).with_name('play.py'))
     subprocess.run(
         [sys.executable, script, *arguments, '--why', reason], check=True
@@ -155,7 +155,7 @@
 
 
 def main() -> None:
-    """Play the days with all mechanisms, then without each in turn."""
+    """Run the days with all mechanisms, then without each in turn."""
     parser = argparse.ArgumentParser(
         description=__doc__, epilog='Other words are passed to bin/play.py.'
     )
--- a/bin/play.py
+++ b/bin/play.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class DayRun:
-    """One day on one seed."""
+    """One day of a deployment, run with one seed."""
 
     bench: str
     site: str
@@ -33,7 +33,7 @@
     is_small_variant: bool = False
 
     def run(self) -> None:
-        """Play it; the bench leaves an entry in the journal."""
+        """Run the bench, which writes an entry to the journal."""
         command = [self.bench, 'run', self.site, self.day, '--seed', self.seed]
         if self.is_small_variant:
             command.append('--small')
@@ -45,7 +45,7 @@
 
 
 def read_days(why: str) -> list[dict[str, Any]]:
-    """Give the days that were played with this reason, by name and seed."""
+    """Return the days run for this reason, ordered by name and seed."""
     days = []
     for path in sorted(JOURNAL.glob('*.json')):
         entry = json.loads(path.read_text(encoding='utf-8'))
@@ -55,7 +55,7 @@
 
 
 def describe(day: dict[str, Any]) -> str:
-    """Give one line on a day: worth, parts, prices, broken rules."""
+    """Return one line per day: worth, parts, prices, broken rules."""
     parts = [f'{name} {earned:.3f}' for name, _, earned in day['parts']]
     rules = ', '.join(day['rules']) or 'none'
     price = sum(row[-1] for row in day['prices'])
@@ -73,7 +73,7 @@
 
 
 def print_means(days: list[dict[str, Any]]) -> None:
-    """Print the mean of each day over its seeds, and of all."""
+    """Print the mean of each day over its seeds, and the overall mean."""
     by_name: dict[str, list[float]] = {}
     for day in days:
         print(describe(day))
@@ -85,7 +85,7 @@
 
 
 def main() -> None:
-    """Play, then print a line for each day and the mean of all."""
+    """Run all days, then print a line for each day and the means."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('bench')
     parser.add_argument('site')
--- a/bin/rounds.py
+++ b/bin/rounds.py
@@ -18,22 +18,22 @@
 
 
 def read_scores() -> list[dict[str, Any]]:
-    """Give the entries of `score`, the oldest first."""
+    """Return the journal entries of `score`, oldest first."""
     paths = sorted(JOURNAL.glob('*.json'))
     entries = [json.loads(path.read_text(encoding='utf-8')) for path in paths]
-    # An entry of a run that was ended has no days.
+    # The entry of an aborted run has no days.
     return [
         entry for entry in entries if entry['cmd'] == 'score' and entry['days']
     ]
 
 
 def format_figure(day: dict[str, Any] | None, figure: str, digits: int) -> str:
-    """Give a figure of a day, a dash where the day was not played."""
+    """Return a figure of a day as text, a dash if the day is missing."""
     return '-' if day is None else str(round(day[figure], digits))
 
 
 def make_row(entry: dict[str, Any]) -> list[str]:
-    """Give the cells of one entry."""
+    """Return the cells of one entry."""
     days = {day['name']: day for day in entry['days']}
     broken = sorted(
         f'{name}: {rule}'
@@ -51,7 +51,7 @@
 
 
 def make_worth_row(entry: dict[str, Any]) -> list[str]:
-    """Give the cells of one entry with the worth of its days."""
+    """Return the cells of one entry, with the worth of its days."""
     days = {day['name']: day for day in entry['days'] if day['name'] in DAYS}
     troubled = [
         day['G'] for name, day in days.items() if not name.startswith(QUIET)
--- a/bin/run_tests.py
+++ b/bin/run_tests.py
@@ -22,13 +22,13 @@
 MAX_SECONDS = 1800
 
 
-def list_known_red() -> Mapping[str, str]:
-    """Give the known red tests: id and the rest of its line."""
+def read_known_red() -> Mapping[str, str]:
+    """Return the tests listed in KNOWN-RED.txt with their causes."""
     return parse_list(KNOWN_RED.read_text(encoding='utf-8'))
 
 
 def flatten(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
-    """Give the single tests of a suite."""
+    """Yield the test cases of a nested suite."""
     for part in suite:
         if isinstance(part, unittest.TestSuite):
             yield from flatten(part)
@@ -37,69 +37,73 @@
 
 
 def load_doctests() -> unittest.TestSuite:
-    """Collect the doctests of every module outside the tests."""
+    """Collect the doctests of all modules except tests."""
     suite = unittest.TestSuite()
-    for found in pkgutil.walk_packages(seampond.__path__, 'seampond.'):
-        if '.tests' in found.name or found.name.endswith('__main__'):
+    for discovered in pkgutil.walk_packages(seampond.__path__, 'seampond.'):
+        if '.tests' in discovered.name or discovered.name.endswith('__main__'):
             continue
-        module = importlib.import_module(found.name)
+        module = importlib.import_module(discovered.name)
         finder = doctest.DocTestFinder(exclude_empty=True)
         suite.addTests(doctest.DocTestSuite(module, test_finder=finder))
     return suite
 
 
 def collect(pattern: str) -> unittest.TestSuite:
-    """Collect all tests whose id holds `pattern`."""
+    """Collect all tests whose id contains `pattern`."""
     loader = unittest.TestLoader()
-    found = loader.discover(str(ROOT / 'seampond'), top_level_dir=str(ROOT))
-    tests = [*flatten(load_doctests()), *flatten(found)]
+    discovered = loader.discover(
+        str(ROOT / 'seampond'), top_level_dir=str(ROOT)
+    )
+    tests = [*flatten(load_doctests()), *flatten(discovered)]
     return unittest.TestSuite(test for test in tests if pattern in test.id())
 
 
-def split_red(
-    suite: unittest.TestSuite, known: Mapping[str, str]
+def exclude_known_red(
+    suite: unittest.TestSuite, known_red: Mapping[str, str]
 ) -> unittest.TestSuite:
-    """Print the known red tests and give the others."""
-    kept = unittest.TestSuite()
+    """Print the known red tests and return a suite of the others."""
+    remaining = unittest.TestSuite()
     for test in flatten(suite):
-        cause = known.get(test.id())
+        cause = known_red.get(test.id())
         if cause is None:
-            kept.addTest(test)
+            remaining.addTest(test)
         else:
             print(f'KNOWN RED, not run: {test.id()}: {cause}')
-    return kept
+    return remaining
 
 
-def close(passed: int, failed: int) -> int:
-    """Print the closing line and give the exit status."""
+def print_summary(passed: int, failed: int) -> int:
+    """Print the summary line and return the exit status."""
     print(f'{passed} passed, {failed} failed')
     return int(failed > 0 or passed == 0)
 
 
-def run_known_red(pattern: str, known: Mapping[str, str], times: int) -> int:
-    """Run the listed tests whose id holds `pattern`; give the exit status."""
-    listed = [test_id for test_id in known if pattern in test_id]
+def run_known_red(
+    pattern: str, known_red: Mapping[str, str], times: int
+) -> int:
+    """Run the listed tests matching `pattern` and return the exit status."""
+    listed = [test_id for test_id in known_red if pattern in test_id]
     if not listed:
         print(f'{KNOWN_RED.name} lists no test whose id holds {pattern!r}')
         return int(bool(pattern))
     tallies = run_listed(listed, flatten(collect(pattern)), times)
     print(*tallies, sep='\n')
     passing = sum(tally.verdict is Verdict.passing for tally in tallies)
-    return close(passing, len(tallies) - passing)
+    return print_summary(passing, len(tallies) - passing)
 
 
-def run_others(pattern: str, known: Mapping[str, str]) -> int:
-    """Run all tests that are not listed; give the exit status."""
-    suite = split_red(collect(pattern), known)
+def run_others(pattern: str, known_red: Mapping[str, str]) -> int:
+    """Run all tests that are not listed and return the exit status."""
+    suite = exclude_known_red(collect(pattern), known_red)
     runner = unittest.TextTestRunner(verbosity=2 if pattern else 1)
     outcome = runner.run(suite)
     failed = len(outcome.failures) + len(outcome.errors)
     failed += len(outcome.unexpectedSuccesses)
-    return close(outcome.testsRun - failed, failed)
+    return print_summary(outcome.testsRun - failed, failed)
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('pattern', nargs='?', default='')
     parser.add_argument('--known-red', action='store_true')
@@ -111,15 +115,15 @@
 
 
 def main() -> int:
-    """Run what was asked for; give the exit status."""
+    """Run the selected tests and return the exit status."""
     options = parse_arguments()
-    known = list_known_red()
+    known_red = read_known_red()
     logging.getLogger('asyncio').setLevel(logging.ERROR)
-    # A hung test ends the run with a traceback, never in silence.
+    # A hung test ends the run with a traceback of all threads.
     faulthandler.dump_traceback_later(MAX_SECONDS, exit=True)
     if options.known_red:
-        return run_known_red(options.pattern, known, options.times)
-    return run_others(options.pattern, known)
+        return run_known_red(options.pattern, known_red, options.times)
+    return run_others(options.pattern, known_red)
 
 
 if __name__ == '__main__':
