--- a/seampond/callers/answers.py
+++ b/seampond/callers/answers.py
@@ -17,8 +17,8 @@
 from seampond.clock import MS_PER_SECOND
 from seampond.links.messages import Frame, Head
 from seampond.promises import Promises
-from seampond.requests import Reason, RefusedError, Run, Ticket, Work
-from seampond.requests.refusals import FACTS
+from seampond.requests import Reason, RefusedError, RunStatus, Ticket, Work
+from seampond.requests.refusals import REFUSAL_DETAILS
 from seampond.routing.answer import run_request
 from seampond.routing.place import Placement
 from seampond.routing.retries import RetryBudget
@@ -70,7 +70,7 @@
         headers['retry-after'] = str(seconds)
     return JSONResponse(
         error_content(refusal, request_id),
-        status_code=FACTS[refusal.reason].status,
+        status_code=REFUSAL_DETAILS[refusal.reason].status,
         headers=headers,
     )
 
@@ -102,7 +102,7 @@
             raise
         owner.uncancel()
         raise RefusedError(
-            Reason.caller_gone, Run.maybe, step='answer', peer=work.id
+            Reason.caller_gone, RunStatus.maybe, step='answer', peer=work.id
         ) from None
     finally:
         watcher.cancel()
@@ -178,7 +178,7 @@
             _logger.exception('request failed', extra={'request': work.id})
             internal = RefusedError(
                 Reason.internal,
-                Run.maybe,
+                RunStatus.maybe,
                 step='answer',
                 detail=type(error).__name__,
             )
--- a/seampond/callers/app.py
+++ b/seampond/callers/app.py
@@ -19,7 +19,7 @@
 from seampond.callers.works import make_chat_work, make_service_work
 from seampond.page_routes import make_page_routes
 from seampond.pages import Pages
-from seampond.requests import Reason, RefusedError, Run, Work
+from seampond.requests import Reason, RefusedError, RunStatus, Work
 
 _METHODS = ('GET', 'POST', 'PUT', 'PATCH', 'DELETE')
 _DRAIN_RETRY_MS = 1000
@@ -43,7 +43,7 @@
     else:
         reason = Reason.not_ready
     raise RefusedError(
-        reason, Run.never, step='admit', retry_after_ms=_DRAIN_RETRY_MS
+        reason, RunStatus.never, step='admit', retry_after_ms=_DRAIN_RETRY_MS
     )
 
 
--- a/seampond/callers/desk.py
+++ b/seampond/callers/desk.py
@@ -9,7 +9,7 @@
 from seampond.clock import Clock
 from seampond.limits import Limiter
 from seampond.membership.follow import Members
-from seampond.requests import Reason, RefusedError, Run
+from seampond.requests import Reason, RefusedError, RunStatus
 from seampond.templates import Parameters, Template, Workspace
 from seampond.templates.follow import ConfigurationHolder
 from seampond.templates.keys import KeyRing
@@ -21,7 +21,7 @@
 
 def refuse(reason: Reason, detail: str = '') -> RefusedError:
     """Make the refusal of a request that was not let in."""
-    return RefusedError(reason, Run.never, step=_STEP, detail=detail)
+    return RefusedError(reason, RunStatus.never, step=_STEP, detail=detail)
 
 
 @dataclass(frozen=True)
--- a/seampond/callers/tests/test_border.py
+++ b/seampond/callers/tests/test_border.py
@@ -9,7 +9,7 @@
 from seampond.backing.standin.models import Faults
 from seampond.demo.fleet import Fleet
 from seampond.metrics.common import counts_by_labels
-from seampond.requests.refusals import FACTS, Reason
+from seampond.requests.refusals import REFUSAL_DETAILS, Reason
 from seampond.testing.caller import (
     CALL_ERRORS,
     Caller,
@@ -46,7 +46,7 @@
         self.assertEqual(reply.error['run'], 'no')
         self.assertTrue(reply.request_id)
         self.assertEqual(reply.error['request_id'], reply.request_id)
-        self.assertEqual(reply.status, FACTS[reason].status)
+        self.assertEqual(reply.status, REFUSAL_DETAILS[reason].status)
         self.assertEqual(self.runs(), 0)
         refusals = self.parts.metrics.refusals
         self.assertEqual(counts_by_labels(refusals), {f'{reason.value}/no': 1})
--- a/seampond/callers/works.py
+++ b/seampond/callers/works.py
@@ -9,7 +9,7 @@
 from seampond.callers.desk import CHAT_PATH, Admission, Desk, refuse
 from seampond.callers.models import CHARACTERS_PER_TOKEN, ChatRequest
 from seampond.links.messages import Header
-from seampond.requests import Reason, RefusedError, Run, Work
+from seampond.requests import Reason, RefusedError, RunStatus, Work
 from seampond.templates import Template
 
 KEY_HEADER = 'idempotency-key'
@@ -68,7 +68,10 @@
     )
     if wait_ms:
         raise RefusedError(
-            Reason.over_rate, Run.never, step='admit', retry_after_ms=wait_ms
+            Reason.over_rate,
+            RunStatus.never,
+            step='admit',
+            retry_after_ms=wait_ms,
         )
 
 
--- a/seampond/engines/agent.py
+++ b/seampond/engines/agent.py
@@ -26,8 +26,7 @@
 )
 from seampond.metrics import AgentMetrics
 from seampond.promises import Promises
-from seampond.requests import Reason
-from seampond.requests import Run as RunWord
+from seampond.requests import Reason, RunStatus
 from seampond.settings.models import AgentSettings
 
 _MIN_RETRY_MS = 1000
@@ -200,7 +199,7 @@
     ) -> None:
         self._refused.add((about.id, about.attempt), self._clock.now())
         self._metrics.refusals.labels(reason.value).inc()
-        entry.send(_make_end(about, RunWord.never, reason))
+        entry.send(_make_end(about, RunStatus.never, reason))
 
     def _take_cancel(self, _entry: EntryPeer, cancel: Cancel) -> None:
         if not self._runner.cancel(cancel):
@@ -210,7 +209,7 @@
         if self._runner.resume(entry, resume):
             return
         if resume.id in self._runner.forgotten:
-            entry.send(_make_end(resume, RunWord.maybe, Reason.agent_lost))
+            entry.send(_make_end(resume, RunStatus.maybe, Reason.agent_lost))
             return
         # The grant never came here; should it still come, it is refused.
         self._refuse(entry, resume, Reason.ask_expired)
@@ -254,7 +253,7 @@
         self._metrics.slots.set(self._runner.slots.limit)
 
 
-def _make_end(about: About, word: RunWord, reason: Reason) -> Finish:
+def _make_end(about: About, word: RunStatus, reason: Reason) -> Finish:
     """Give the end of a request that has no answer here."""
     return Finish(
         about.id, about.attempt, count=0, run=word.value, reason=reason.value
--- a/seampond/engines/runner.py
+++ b/seampond/engines/runner.py
@@ -16,8 +16,7 @@
 from seampond.links.messages import Cancel, Received, Resume
 from seampond.metrics import AgentMetrics
 from seampond.promises import Promises, Rule
-from seampond.requests import Reason
-from seampond.requests import Run as RunWord
+from seampond.requests import Reason, RunStatus
 from seampond.settings.models import AgentSettings
 from seampond.tasks import cancel_all
 
@@ -187,7 +186,7 @@
             self._end_cancelled(run)
         except Exception:
             _logger.exception('run failed', extra={'request': run.id})
-            self._end(run, RunWord.maybe, Reason.internal)
+            self._end(run, RunStatus.maybe, Reason.internal)
         finally:
             self._free(run, started_ms)
 
@@ -224,9 +223,9 @@
         except ClaimRefusedError as refused:
             if await self._replay(run, refused):
                 return None
-            word, reason = RunWord.never, Reason.claim_store_down
+            word, reason = RunStatus.never, Reason.claim_store_down
             if refused.is_taken:
-                word, reason = RunWord.maybe, Reason.claim_taken
+                word, reason = RunStatus.maybe, Reason.claim_taken
             self._metrics.claims.labels(reason.value).inc()
             self._end(run, word, reason)
             return None
@@ -245,12 +244,12 @@
         run.add_head(answer.status, answer.replay_headers)
         run.add_payload(answer.body)
         self._metrics.claims.labels('replayed').inc()
-        self._end(run, RunWord.done, None)
+        self._end(run, RunStatus.done, None)
         return True
 
     async def _dispatch_in_time(self, run: Run, claim: Claim | None) -> None:
         if self._clock.now() >= run.deadline_ms or run.is_cancelled:
-            self._end(run, RunWord.never, Reason.deadline)
+            self._end(run, RunStatus.never, Reason.deadline)
             return
         self._promises.check(
             Rule.single_dispatch, run.stage is Stage.granted, step='dispatch'
@@ -267,28 +266,28 @@
         except BackendError as error:
             self._end_failed(run, error)
         else:
-            self._end(run, RunWord.done, None)
+            self._end(run, RunStatus.done, None)
 
     def _end_failed(self, run: Run, error: BackendError) -> None:
         if error.was_sent:
             self._count_waste(run)
-            self._end(run, RunWord.maybe, error.reason)
+            self._end(run, RunStatus.maybe, error.reason)
         else:
-            self._end(run, RunWord.never, error.reason)
+            self._end(run, RunStatus.never, error.reason)
 
     def _end_cancelled(self, run: Run) -> None:
         if run.stage is Stage.dispatched:
             self._count_waste(run)
-            self._end(run, RunWord.maybe, Reason.cancelled)
+            self._end(run, RunStatus.maybe, Reason.cancelled)
         else:
-            self._end(run, RunWord.never, Reason.cancelled)
+            self._end(run, RunStatus.never, Reason.cancelled)
 
-    def _end(self, run: Run, word: RunWord, reason: Reason | None) -> None:
+    def _end(self, run: Run, word: RunStatus, reason: Reason | None) -> None:
         if run.stage is Stage.ended:
             return
         self._promises.check(
             Rule.true_not_run,
-            word is not RunWord.never or not run.parts,
+            word is not RunStatus.never or not run.parts,
             step='finish',
         )
         label = reason.value if reason else ''
--- a/seampond/engines/runs.py
+++ b/seampond/engines/runs.py
@@ -7,7 +7,7 @@
 from seampond.claims.answers import KeptAnswer
 from seampond.engines.entries import EntryPeer
 from seampond.links.messages import Finish, Frame, Grant, Head, Header
-from seampond.requests import Run as RunWord
+from seampond.requests import RunStatus
 
 _DIGEST_BYTES = 16
 
@@ -68,7 +68,7 @@
         """Whether it ended without having been dispatched."""
         if self.finish is None:
             return False
-        return self.finish.run == RunWord.never.value
+        return self.finish.run == RunStatus.never.value
 
     @property
     def is_whole(self) -> bool:
@@ -110,7 +110,7 @@
         number = len(self.parts)
         self._add(Frame(self.id, self.grant.attempt, number, payload))
 
-    def end(self, run: RunWord, reason: str, now_ms: int) -> None:
+    def end(self, run: RunStatus, reason: str, now_ms: int) -> None:
         """End the answer; no reason means that it is whole."""
         self.stage = Stage.ended
         self.ended_ms = now_ms
--- a/seampond/requests/__init__.py
+++ b/seampond/requests/__init__.py
@@ -2,6 +2,6 @@
 
 from seampond.requests.refusals import Reason as Reason
 from seampond.requests.refusals import RefusedError as RefusedError
-from seampond.requests.refusals import Run as Run
+from seampond.requests.refusals import RunStatus as RunStatus
 from seampond.requests.work import Ticket as Ticket
 from seampond.requests.work import Work as Work
--- a/seampond/requests/refusals.py
+++ b/seampond/requests/refusals.py
@@ -10,7 +10,7 @@
 
 
 @enum.unique
-class Run(enum.Enum):
+class RunStatus(enum.Enum):
     """Whether a refused request was run."""
 
     never = 'no'
@@ -19,11 +19,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class RefusalDetails:
     """The HTTP status of a reason and what the caller can do."""
 
     status: HTTPStatus
-    cure: str
+    advice: str
 
 
 @enum.unique
@@ -61,64 +61,72 @@
 _RETRY_LATER = 'try again after the time in Retry-After'
 _ASK_FIRST = 'it may have run: check before you send it again'
 
-_LATER = Facts(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_LATER)
+_LATER = RefusalDetails(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_LATER)
 
-FACTS: Mapping[Reason, Facts] = MappingProxyType(
+REFUSAL_DETAILS: Mapping[Reason, RefusalDetails] = MappingProxyType(
     {
-        Reason.bad_request: Facts(
+        Reason.bad_request: RefusalDetails(
             HTTPStatus.BAD_REQUEST,
             'send valid JSON with "model" and "messages"',
         ),
-        Reason.wrong_key: Facts(
+        Reason.wrong_key: RefusalDetails(
             HTTPStatus.UNAUTHORIZED,
             'send "Authorization: Bearer KEY" with a key of your workspace',
         ),
-        Reason.unknown_template: Facts(
+        Reason.unknown_template: RefusalDetails(
             HTTPStatus.NOT_FOUND,
             'name a template that your workspace has parameters for',
         ),
-        Reason.body_too_large: Facts(
+        Reason.body_too_large: RefusalDetails(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE, 'send a shorter body'
         ),
-        Reason.key_required: Facts(
+        Reason.key_required: RefusalDetails(
             HTTPStatus.BAD_REQUEST,
             'this work is not repeatable: add an Idempotency-Key header',
         ),
-        Reason.deadline_past: Facts(
+        Reason.deadline_past: RefusalDetails(
             HTTPStatus.BAD_REQUEST,
             'X-Deadline-Ms is the time left in milliseconds, 1 or more',
         ),
-        Reason.over_rate: Facts(HTTPStatus.TOO_MANY_REQUESTS, _RETRY_LATER),
+        Reason.over_rate: RefusalDetails(
+            HTTPStatus.TOO_MANY_REQUESTS, _RETRY_LATER
+        ),
         Reason.not_ready: _LATER,
         Reason.draining: _LATER,
         Reason.no_server: _LATER,
         Reason.no_room: _LATER,
         Reason.shed: _LATER,
-        Reason.deadline: Facts(HTTPStatus.GATEWAY_TIMEOUT, _RETRY_LATER),
+        Reason.deadline: RefusalDetails(
+            HTTPStatus.GATEWAY_TIMEOUT, _RETRY_LATER
+        ),
         Reason.retry_budget: _LATER,
         Reason.leaving: _LATER,
         Reason.ask_expired: _LATER,
         Reason.cancelled: _LATER,
         Reason.engine_unreachable: _LATER,
-        Reason.engine_failed: Facts(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
-        Reason.engine_short: Facts(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
-        Reason.wrong_answer: Facts(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
-        Reason.agent_lost: Facts(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
-        Reason.caller_gone: Facts(
+        Reason.engine_failed: RefusalDetails(
+            HTTPStatus.BAD_GATEWAY, _ASK_FIRST
+        ),
+        Reason.engine_short: RefusalDetails(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
+        Reason.wrong_answer: RefusalDetails(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
+        Reason.agent_lost: RefusalDetails(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
+        Reason.caller_gone: RefusalDetails(
             HTTPStatus.REQUEST_TIMEOUT, 'the caller left'
         ),
-        Reason.claim_taken: Facts(
+        Reason.claim_taken: RefusalDetails(
             HTTPStatus.CONFLICT,
             'a request with this Idempotency-Key may have run already',
         ),
         Reason.claim_store_down: _LATER,
-        Reason.internal: Facts(HTTPStatus.INTERNAL_SERVER_ERROR, _ASK_FIRST),
+        Reason.internal: RefusalDetails(
+            HTTPStatus.INTERNAL_SERVER_ERROR, _ASK_FIRST
+        ),
     }
 )
 
 
 # Another agent may do better; for any other reason it would not.
-RETRYABLE = frozenset(
+RETRYABLE_REASONS = frozenset(
     (Reason.leaving, Reason.ask_expired, Reason.engine_unreachable)
 )
 
@@ -138,7 +146,7 @@
     ----------
     reason : Reason
         Why.
-    run : Run
+    run : RunStatus
         Whether it may have run.
     retry_after_ms : int
         When to come back; 0 for no advice.
@@ -148,7 +156,7 @@
     def __init__(
         self,
         reason: Reason,
-        run: Run,
+        run: RunStatus,
         *,
         step: str,
         peer: str = '',
@@ -156,9 +164,9 @@
         detail: str = '',
     ) -> None:
         """Make the message from the reason's cure."""
-        cure = FACTS[reason].cure
+        advice = REFUSAL_DETAILS[reason].advice
         super().__init__(
-            f'{detail}: {cure}' if detail else cure, step=step, peer=peer
+            f'{detail}: {advice}' if detail else advice, step=step, peer=peer
         )
         self.reason = reason
         self.run = run
--- a/seampond/requests/work.py
+++ b/seampond/requests/work.py
@@ -42,20 +42,20 @@
     may_wait: bool = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether running it twice does no harm."""
         return not self.claim_key
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class GrantAccepted:
     """The grant was given to the agent of this name."""
 
     agent: str
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class ReservationDeclined:
     """An agent will not take the reservation; it was not run."""
 
     agent: str
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evicted:
+class EvictedFromQueue:
     """The entry gave the place of this request to a higher tier."""
 
     retry_after_ms: int
@@ -77,7 +77,9 @@
     agent: str
 
 
-Event = Granted | TurnedAway | Evicted | AgentLost | Message
+Event = (
+    GrantAccepted | ReservationDeclined | EvictedFromQueue | AgentLost | Message
+)
 
 
 @dataclass(slots=True)
@@ -100,7 +102,7 @@
     work: Work
     attempt: int = 1
     holder: str = ''
-    is_over: bool = False
+    is_finished: bool = False
     reserved: set[str] = field(default_factory=set)
     next_frame: int = 0
     mailbox: 'asyncio.Queue[Event]' = field(default_factory=asyncio.Queue)
@@ -113,4 +115,4 @@
     @property
     def is_waiting(self) -> bool:
         """Whether it may still be granted."""
-        return not self.holder and not self.is_over
+        return not self.holder and not self.is_finished
--- a/seampond/routing/answer.py
+++ b/seampond/routing/answer.py
@@ -5,8 +5,8 @@
 from seampond.links.messages import Finish, Frame, Head
 from seampond.promises import Rule
 from seampond.promises.rules import Promises
-from seampond.requests import Reason, RefusedError, Run, Ticket
-from seampond.requests.refusals import RETRYABLE, parse_reason
+from seampond.requests import Reason, RefusedError, RunStatus, Ticket
+from seampond.requests.refusals import RETRYABLE_REASONS, parse_reason
 from seampond.requests.work import AgentLost, Event
 from seampond.routing.place import Placement, next_event, place
 from seampond.routing.retries import RetryBudget
@@ -26,11 +26,14 @@
         is_lost = is_lost or now - peer.down_since_ms > resume_ms
     if is_lost:
         raise RefusedError(
-            Reason.agent_lost, Run.maybe, step='answer', peer=ticket.holder
+            Reason.agent_lost,
+            RunStatus.maybe,
+            step='answer',
+            peer=ticket.holder,
         )
     if now > ticket.work.deadline_ms + _GRACE_MS:
         raise RefusedError(
-            Reason.deadline, Run.maybe, step='answer', peer=ticket.holder
+            Reason.deadline, RunStatus.maybe, step='answer', peer=ticket.holder
         )
 
 
@@ -43,7 +46,7 @@
     if number > ticket.next_frame:
         raise RefusedError(
             Reason.engine_short,
-            Run.maybe,
+            RunStatus.maybe,
             step='answer',
             peer=ticket.holder,
             detail=f'frame {ticket.next_frame} is missing',
@@ -53,7 +56,7 @@
 
 
 def _check_finish(ticket: Ticket, finish: Finish, promises: Promises) -> None:
-    run = Run(finish.run)
+    run = RunStatus(finish.run)
     if finish.reason:
         raise RefusedError(
             parse_reason(finish.reason), run, step='answer', peer=ticket.holder
@@ -141,7 +144,10 @@
     budget: RetryBudget,
     refusal: RefusedError,
 ) -> None:
-    if refusal.run is not Run.never or refusal.reason not in RETRYABLE:
+    if (
+        refusal.run is not RunStatus.never
+        or refusal.reason not in RETRYABLE_REASONS
+    ):
         raise refusal
     if ticket.attempt >= placement.settings.attempts_max:
         raise refusal
@@ -149,7 +155,7 @@
     if not budget.take():
         raise RefusedError(
             Reason.retry_budget,
-            Run.never,
+            RunStatus.never,
             step='retry',
             peer=ticket.holder,
             retry_after_ms=placement.rate.time_for(len(placement.room)),
--- a/seampond/routing/dispatcher.py
+++ b/seampond/routing/dispatcher.py
@@ -26,7 +26,7 @@
 from seampond.metrics import EntryMetrics
 from seampond.promises import Promises, Rule
 from seampond.requests import Ticket
-from seampond.requests.work import AgentLost, Granted, TurnedAway
+from seampond.requests.work import AgentLost, GrantAccepted, ReservationDeclined
 from seampond.routing.peer import Peer, PeerState
 from seampond.routing.waiting import WaitingRoom
 
@@ -93,7 +93,7 @@
         """End a request: withdraw it, or cancel what still runs."""
         if self._tickets.pop(ticket.id, None) is None:
             return
-        ticket.is_over = True
+        ticket.is_finished = True
         self.withdraw(ticket)
         holder = self.peers.get(ticket.holder)
         if holder and holder.granted.pop(ticket.id, None):
@@ -162,7 +162,7 @@
         peer.reserved.clear()
         for ticket in reserved:
             ticket.reserved.discard(peer.name)
-            ticket.mailbox.put_nowait(TurnedAway(peer.name))
+            ticket.mailbox.put_nowait(ReservationDeclined(peer.name))
         _logger.info('link down', extra={'agent': peer.name})
 
     def remove(self, peer: Peer) -> None:
@@ -212,12 +212,12 @@
                 path=work.path,
                 headers=work.headers,
                 body=work.body,
-                repeatable=work.is_repeatable,
+                repeatable=work.is_idempotent,
                 claim_key=work.claim_key,
             )
         )
         self.withdraw(ticket)
-        ticket.mailbox.put_nowait(Granted(peer.name))
+        ticket.mailbox.put_nowait(GrantAccepted(peer.name))
 
     def _may_grant(self, peer: Peer, ticket: Ticket | None, ask: Ask) -> bool:
         if ticket is None or not ticket.is_waiting:
@@ -233,7 +233,7 @@
             return
         peer.reserved.pop(answer.id)
         ticket.reserved.discard(peer.name)
-        turned = TurnedAway(peer.name, peer.incarnation, answer)
+        turned = ReservationDeclined(peer.name, peer.incarnation, answer)
         ticket.mailbox.put_nowait(turned)
 
     def _take_answer(self, peer: Peer, message: About) -> None:
--- a/seampond/routing/place.py
+++ b/seampond/routing/place.py
@@ -6,9 +6,14 @@
 
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.metrics import EntryMetrics
-from seampond.requests import Reason, RefusedError, Run, Ticket
+from seampond.requests import Reason, RefusedError, RunStatus, Ticket
 from seampond.requests.refusals import parse_reason
-from seampond.requests.work import Event, Evicted, Granted, TurnedAway
+from seampond.requests.work import (
+    Event,
+    EvictedFromQueue,
+    GrantAccepted,
+    ReservationDeclined,
+)
 from seampond.routing.candidates import find_home, order_by_load
 from seampond.routing.dispatcher import Dispatcher
 from seampond.routing.peer import Peer
@@ -100,10 +105,10 @@
 
 
 def _note_event(search: Search, event: Event | None) -> None:
-    if isinstance(event, Evicted):
+    if isinstance(event, EvictedFromQueue):
         search.retry_after_ms = event.retry_after_ms
     # Where the link ended the agent may come back, so it stays eligible.
-    if not isinstance(event, TurnedAway) or event.answer is None:
+    if not isinstance(event, ReservationDeclined) or event.answer is None:
         return
     search.refused_by.add((event.agent, event.incarnation))
     search.last_reason = parse_reason(event.answer.reason)
@@ -116,7 +121,7 @@
     backlog_ms = placement.rate.time_for(len(placement.room))
     return RefusedError(
         reason,
-        Run.never,
+        RunStatus.never,
         step='place',
         retry_after_ms=max(search.retry_after_ms, backlog_ms),
     )
@@ -171,10 +176,10 @@
         _reserve_more(ticket, search, placement)
         until_ms = _next_look(ticket, search, placement)
         event = await next_event(ticket, placement.clock, until_ms)
-        if isinstance(event, Granted):
+        if isinstance(event, GrantAccepted):
             return event.agent
         _note_event(search, event)
-        if isinstance(event, Evicted):
+        if isinstance(event, EvictedFromQueue):
             raise _give_up(Reason.shed, search, placement)
         is_late = placement.clock.now() >= ticket.work.deadline_ms
         if is_late and ticket.is_waiting:
@@ -188,14 +193,14 @@
         if victim is ticket:
             raise RefusedError(
                 Reason.shed,
-                Run.never,
+                RunStatus.never,
                 step='wait',
                 retry_after_ms=retry_after_ms,
             )
         # From here on it can't be granted, whatever is on its way.
         placement.dispatcher.withdraw(victim)
-        victim.is_over = True
-        victim.mailbox.put_nowait(Evicted(retry_after_ms))
+        victim.is_finished = True
+        victim.mailbox.put_nowait(EvictedFromQueue(retry_after_ms))
 
 
 async def place(ticket: Ticket, placement: Placement) -> str:
@@ -215,7 +220,7 @@
     Raises
     ------
     RefusedError
-        With `Run.never`: no grant was given and none will be.
+        With `RunStatus.never`: no grant was given and none will be.
 
     References
     ----------
--- a/seampond/routing/tests/test_dispatcher.py
+++ b/seampond/routing/tests/test_dispatcher.py
@@ -19,7 +19,7 @@
     TurnAway,
     Withdraw,
 )
-from seampond.requests.work import AgentLost, Granted, TurnedAway
+from seampond.requests.work import AgentLost, GrantAccepted, ReservationDeclined
 from seampond.routing.peer import Peer, PeerState
 from seampond.testing.builders import (
     FakeLink,
@@ -63,7 +63,9 @@
         self.assertEqual(self.sent(self.second, Grant), [])
         self.assertEqual(len(self.sent(self.second, Withdraw)), 1)
         self.assertEqual(len(self.sent(self.second, Deny)), 1)
-        self.assertEqual(self.ticket.mailbox.get_nowait(), Granted('backend-1'))
+        self.assertEqual(
+            self.ticket.mailbox.get_nowait(), GrantAccepted('backend-1')
+        )
 
     def test_an_ask_for_an_earlier_attempt_is_denied(self) -> None:
         self.reserve_at_both()
@@ -103,7 +105,7 @@
         self.reserve_at_both()
         self.dispatcher.went_down(self.first)
         self.assertEqual(
-            self.ticket.mailbox.get_nowait(), TurnedAway('backend-1')
+            self.ticket.mailbox.get_nowait(), ReservationDeclined('backend-1')
         )
         self.assertEqual(self.ticket.reserved, {'backend-2'})
 
@@ -145,7 +147,7 @@
 
     def test_closing_an_evicted_request_leaves_no_reservation(self) -> None:
         self.reserve_at_both()
-        self.ticket.is_over = True
+        self.ticket.is_finished = True
         self.dispatcher.close(self.ticket)
         self.assertEqual(self.first.reserved, {})
 
--- a/seampond/routing/tests/test_place.py
+++ b/seampond/routing/tests/test_place.py
@@ -14,7 +14,7 @@
     Reserve,
     TurnAway,
 )
-from seampond.requests import Reason, RefusedError, Run, Ticket
+from seampond.requests import Reason, RefusedError, RunStatus, Ticket
 from seampond.requests.work import AgentLost
 from seampond.routing.answer import read_answer, run_request
 from seampond.routing.candidates import choose_subset, find_home
@@ -83,7 +83,7 @@
         with self.assertRaises(RefusedError) as caught:
             await task
         self.assertIs(caught.exception.reason, Reason.no_room)
-        self.assertIs(caught.exception.run, Run.never)
+        self.assertIs(caught.exception.run, RunStatus.never)
         self.assertEqual(caught.exception.retry_after_ms, 7000)
 
     async def test_no_agents_for_a_while_means_no_server(self) -> None:
@@ -96,7 +96,7 @@
         with self.assertRaises(RefusedError) as caught:
             await task
         self.assertIs(caught.exception.reason, Reason.no_server)
-        self.assertIs(caught.exception.run, Run.never)
+        self.assertIs(caught.exception.run, RunStatus.never)
 
     async def test_an_agent_that_comes_up_in_time_is_asked(self) -> None:
         late = build_peer('late')
@@ -207,7 +207,7 @@
     async def test_a_lost_agent_may_have_run_it(self) -> None:
         with self.assertRaises(RefusedError) as caught:
             await self.read(AgentLost('backend-1'))
-        self.assertIs(caught.exception.run, Run.maybe)
+        self.assertIs(caught.exception.run, RunStatus.maybe)
 
     async def run_with(self, budget: RetryBudget, *finishes: Finish) -> Any:
         self.ticket.holder = ''
@@ -244,7 +244,7 @@
             await self.run_with(
                 RetryBudget(1), Finish('r1', 1, 0, 'maybe', 'engine-failed')
             )
-        self.assertIs(caught.exception.run, Run.maybe)
+        self.assertIs(caught.exception.run, RunStatus.maybe)
         self.assertEqual(self.ticket.attempt, 1)
 
     async def test_an_empty_budget_ends_the_retries(self) -> None:
@@ -253,7 +253,7 @@
         with self.assertRaises(RefusedError) as caught:
             await self.run_with(budget, Finish('r1', 1, 0, 'no', 'leaving'))
         self.assertIs(caught.exception.reason, Reason.retry_budget)
-        self.assertIs(caught.exception.run, Run.never)
+        self.assertIs(caught.exception.run, RunStatus.never)
 
 
 class CandidatesTest(unittest.TestCase):
