--- a/seampond/requests/__init__.py
+++ b/seampond/requests/__init__.py
@@ -1,4 +1,4 @@
-"""The life of one request inside an entry, and its refusals."""
+"""The state of a request inside an entry, and its refusals."""
 
 from seampond.requests.refusals import Reason as Reason
 from seampond.requests.refusals import RefusedError as RefusedError
--- a/seampond/requests/refusals.py
+++ b/seampond/requests/refusals.py
@@ -1,4 +1,4 @@
-"""Why a request is refused, and whether it may have run."""
+"""Reasons for refusing a request, and their HTTP answers."""
 
 import enum
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 @enum.unique
 class RunStatus(enum.Enum):
-    """Whether a refused request was run."""
+    """Whether a backend server ran the request."""
 
     never = 'no'
     maybe = 'maybe'
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalDetails:
-    """The HTTP status of a reason and what the caller can do."""
+    """The HTTP status of a reason and the advice to the caller."""
 
     status: HTTPStatus
     advice: str
@@ -28,7 +28,7 @@
 
 @enum.unique
 class Reason(enum.Enum):
-    """Each reason; the value is the label of the counter."""
+    """Why a request is refused; the value is the metric label."""
 
     bad_request = 'bad-request'
     wrong_key = 'wrong-key'
@@ -59,9 +59,9 @@
 
 
 _RETRY_LATER = 'try again after the time in Retry-After'
-_ASK_FIRST = 'it may have run: check before you send it again'
+_CHECK_FIRST = 'it may have run: check before you send it again'
 
-_LATER = RefusalDetails(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_LATER)
+_UNAVAILABLE = RefusalDetails(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_LATER)
 
 REFUSAL_DETAILS: Mapping[Reason, RefusalDetails] = MappingProxyType(
     {
@@ -91,25 +91,29 @@
         Reason.over_rate: RefusalDetails(
             HTTPStatus.TOO_MANY_REQUESTS, _RETRY_LATER
         ),
-        Reason.not_ready: _LATER,
-        Reason.draining: _LATER,
-        Reason.no_server: _LATER,
-        Reason.no_room: _LATER,
-        Reason.shed: _LATER,
+        Reason.not_ready: _UNAVAILABLE,
+        Reason.draining: _UNAVAILABLE,
+        Reason.no_server: _UNAVAILABLE,
+        Reason.no_room: _UNAVAILABLE,
+        Reason.shed: _UNAVAILABLE,
         Reason.deadline: RefusalDetails(
             HTTPStatus.GATEWAY_TIMEOUT, _RETRY_LATER
         ),
-        Reason.retry_budget: _LATER,
-        Reason.leaving: _LATER,
-        Reason.ask_expired: _LATER,
-        Reason.cancelled: _LATER,
-        Reason.engine_unreachable: _LATER,
+        Reason.retry_budget: _UNAVAILABLE,
+        Reason.leaving: _UNAVAILABLE,
+        Reason.ask_expired: _UNAVAILABLE,
+        Reason.cancelled: _UNAVAILABLE,
+        Reason.engine_unreachable: _UNAVAILABLE,
         Reason.engine_failed: RefusalDetails(
-            HTTPStatus.BAD_GATEWAY, _ASK_FIRST
+            HTTPStatus.BAD_GATEWAY, _CHECK_FIRST
         ),
-        Reason.engine_short: RefusalDetails(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
-        Reason.wrong_answer: RefusalDetails(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
-        Reason.agent_lost: RefusalDetails(HTTPStatus.BAD_GATEWAY, _ASK_FIRST),
+        Reason.engine_short: RefusalDetails(
+            HTTPStatus.BAD_GATEWAY, _CHECK_FIRST
+        ),
+        Reason.wrong_answer: RefusalDetails(
+            HTTPStatus.BAD_GATEWAY, _CHECK_FIRST
+        ),
+        Reason.agent_lost: RefusalDetails(HTTPStatus.BAD_GATEWAY, _CHECK_FIRST),
         Reason.caller_gone: RefusalDetails(
             HTTPStatus.REQUEST_TIMEOUT, 'the caller left'
         ),
@@ -117,22 +121,22 @@
             HTTPStatus.CONFLICT,
             'a request with this Idempotency-Key may have run already',
         ),
-        Reason.claim_store_down: _LATER,
+        Reason.claim_store_down: _UNAVAILABLE,
         Reason.internal: RefusalDetails(
-            HTTPStatus.INTERNAL_SERVER_ERROR, _ASK_FIRST
+            HTTPStatus.INTERNAL_SERVER_ERROR, _CHECK_FIRST
         ),
     }
 )
 
 
-# Another agent may do better; for any other reason it would not.
+# Reasons for which a retry with another agent may succeed.
 RETRYABLE_REASONS = frozenset(
     (Reason.leaving, Reason.ask_expired, Reason.engine_unreachable)
 )
 
 
 def parse_reason(label: str) -> Reason:
-    """Give the reason with this label; an unknown one is `internal`."""
+    """Return the reason with this label, `internal` if it is unknown."""
     try:
         return Reason(label)
     except ValueError:
@@ -140,16 +144,22 @@
 
 
 class RefusedError(SeampondError):
-    """A request is given up; the caller hears it at once.
+    """Raised to end a request with an error answer to its caller.
 
     Parameters
     ----------
     reason : Reason
-        Why.
+        Selects the HTTP status and the advice.
     run : RunStatus
-        Whether it may have run.
+        Whether the request may have run.
+    step : str
+        The processing step that failed.
+    peer : str
+        The agent or request concerned; may be empty.
     retry_after_ms : int
-        When to come back; 0 for no advice.
+        When the caller may retry; 0 omits the Retry-After header.
+    detail : str
+        Precedes the advice in the message.
 
     """
 
@@ -163,7 +173,7 @@
         retry_after_ms: int = 0,
         detail: str = '',
     ) -> None:
-        """Make the message from the reason's cure."""
+        """Build the message from the detail and the reason's advice."""
         advice = REFUSAL_DETAILS[reason].advice
         super().__init__(
             f'{detail}: {advice}' if detail else advice, step=step, peer=peer
--- a/seampond/requests/work.py
+++ b/seampond/requests/work.py
@@ -1,4 +1,4 @@
-"""A request and its state while an entry holds it."""
+"""A validated request and its state while an entry serves it."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -8,20 +8,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What a caller asked for, checked and ready to be placed.
+    """A validated request that is ready for dispatch.
 
     Parameters
     ----------
     id : str
-        Unique; also in every answer.
+        Unique; returned to the caller in every answer.
     arrived_ms, deadline_ms : int
-        In the entry's clock time.
+        By the entry's clock.
     prompt_tokens : int
-        Estimated.
+        Estimated from the length of the prompt.
     prefix : str
-        Names the head of the prompt, for cache affinity; may be empty.
+        Hash of the start of the prompt, for cache affinity; may be empty.
     claim_key : str
-        Names work that may not be repeated; else empty.
+        Identifies work that must run at most once; empty if idempotent.
+    may_wait : bool
+        Whether it waits, instead of being refused, if no agent accepts it.
 
     """
 
@@ -43,20 +45,20 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether running it twice does no harm."""
+        """Whether the request may safely run more than once."""
         return not self.claim_key
 
 
 @dataclass(frozen=True, slots=True)
 class GrantAccepted:
-    """The grant was given to the agent of this name."""
+    """The named agent asked for the grant and received it."""
 
     agent: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationDeclined:
-    """An agent will not take the reservation; it was not run."""
+    """An agent declined the reservation; the request was not run."""
 
     agent: str
     incarnation: str = ''
@@ -65,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EvictedFromQueue:
-    """The entry gave the place of this request to a higher tier."""
+    """A request of a higher tier took the queue slot."""
 
     retry_after_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class AgentLost:
-    """The agent that holds the grant is gone: the fate is unknown."""
+    """The agent that holds the grant was lost; it may have run."""
 
     agent: str
 
@@ -84,18 +86,18 @@
 
 @dataclass(slots=True)
 class Ticket:
-    """The changing state of one request; one task reads its mailbox.
+    """The mutable state of one request; one task reads its mailbox.
 
     Parameters
     ----------
     attempt : int
-        Numbers the rounds of reservations; each has one grant at most.
+        Number of the reservation round; a round has at most one grant.
     holder : str
-        The agent that holds the grant; empty before.
+        The agent that holds the grant; empty until it is granted.
     reserved : set[str]
-        Agents that hold a reservation of this attempt.
+        Names of the agents that hold a reservation of this attempt.
     next_frame : int
-        The number of the next frame of the answer.
+        The expected number of the next frame of the answer.
 
     """
 
@@ -109,10 +111,10 @@
 
     @property
     def id(self) -> str:
-        """The id of the request."""
+        """The request id."""
         return self.work.id
 
     @property
     def is_waiting(self) -> bool:
-        """Whether it may still be granted."""
+        """Whether the request is neither granted nor finished."""
         return not self.holder and not self.is_finished
