--- a/seampond/callers/__init__.py
+++ b/seampond/callers/__init__.py
@@ -1,4 +1,4 @@
 """The HTTP border towards callers."""
 
-from seampond.callers.app import caller_app as caller_app
-from seampond.callers.desk import Desk as Desk
+from seampond.callers.admission import AdmissionContext as AdmissionContext
+from seampond.callers.app import make_caller_app as make_caller_app
--- a/seampond/callers/desk.py
+++ b/seampond/callers/admission.py
@@ -19,13 +19,13 @@
 _STEP = 'admit'
 
 
-def refuse(reason: Reason, detail: str = '') -> RefusedError:
+def make_refusal(reason: Reason, detail: str = '') -> RefusedError:
     """Make the refusal of a request that was not let in."""
     return RefusedError(reason, RunStatus.never, step=_STEP, detail=detail)
 
 
 @dataclass(frozen=True)
-class Desk:
+class AdmissionContext:
     """What admitting a request needs."""
 
     holder: ConfigurationHolder
@@ -52,7 +52,7 @@
     async for part in request.stream():
         size += len(part)
         if size > max_bytes:
-            raise refuse(
+            raise make_refusal(
                 Reason.body_too_large, f'at most {max_bytes} bytes are taken'
             )
         parts.append(part)
@@ -73,24 +73,28 @@
     except ValidationError as error:
         problem = error.errors()[0]
         where = '.'.join(str(part) for part in problem['loc']) or 'body'
-        raise refuse(
+        raise make_refusal(
             Reason.bad_request, f'{where}: {problem["msg"]}'
         ) from error
 
 
-async def _authenticate(desk: Desk, request: Request) -> Workspace:
+async def _authenticate(
+    context: AdmissionContext, request: Request
+) -> Workspace:
     header = request.headers.get('authorization', '')
     workspace = None
     if header.lower().startswith(_BEARER):
         key = header[len(_BEARER) :].strip()
-        workspace = await desk.keys.find_workspace(desk.holder.current, key)
+        workspace = await context.keys.find_workspace(
+            context.holder.current, key
+        )
     if workspace is None:
-        raise refuse(Reason.wrong_key)
+        raise make_refusal(Reason.wrong_key)
     return workspace
 
 
 async def admit(
-    desk: Desk, request: Request, template_name: str, kind: str
+    context: AdmissionContext, request: Request, template_name: str, kind: str
 ) -> Admission:
     """Find the workspace, the template and the parameters.
 
@@ -100,11 +104,11 @@
         If the key is wrong or the workspace has no such template.
 
     """
-    workspace = await _authenticate(desk, request)
-    template = desk.holder.current.templates.get(template_name)
+    workspace = await _authenticate(context, request)
+    template = context.holder.current.templates.get(template_name)
     parameters = workspace.parameters.get(template_name)
     if template is None or parameters is None or template.kind != kind:
-        raise refuse(
+        raise make_refusal(
             Reason.unknown_template, f'no template {template_name!r} for you'
         )
     return Admission(workspace, template, parameters)
--- a/seampond/callers/app.py
+++ b/seampond/callers/app.py
@@ -9,14 +9,18 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from seampond.callers.answers import AnswerResponse, Front, error_response
-from seampond.callers.desk import (
+from seampond.callers.admission import (
     CHAT_PATH,
     admit,
     parse_chat,
     read_body,
 )
-from seampond.callers.works import make_chat_work, make_service_work
+from seampond.callers.responses import (
+    AnswerResponse,
+    ResponseContext,
+    make_error_response,
+)
+from seampond.callers.work_builders import make_chat_work, make_service_work
 from seampond.page_routes import make_page_routes
 from seampond.pages import Pages
 from seampond.requests import Reason, RefusedError, RunStatus, Work
@@ -28,17 +32,17 @@
 
 
 @dataclass(frozen=True)
-class Doors:
+class ReadinessChecks:
     """Whether new requests are let in."""
 
     is_ready: Callable[[], bool]
     is_draining: Callable[[], bool]
 
 
-def _check_open(doors: Doors) -> None:
-    if doors.is_draining():
+def _check_open(readiness: ReadinessChecks) -> None:
+    if readiness.is_draining():
         reason = Reason.draining
-    elif doors.is_ready():
+    elif readiness.is_ready():
         return
     else:
         reason = Reason.not_ready
@@ -47,30 +51,34 @@
     )
 
 
-def _request_routes(front: Front, doors: Doors) -> list[Route]:
-    desk = front.desk
+def _request_routes(
+    context: ResponseContext, readiness: ReadinessChecks
+) -> list[Route]:
+    admission_context = context.admission_context
 
     async def chat(request: Request) -> Work:
-        body = await read_body(request, desk.body_max_bytes)
+        body = await read_body(request, admission_context.body_max_bytes)
         parsed = parse_chat(body)
-        admission = await admit(desk, request, parsed.model, 'model')
-        return make_chat_work(desk, request, admission, parsed)
+        admission = await admit(
+            admission_context, request, parsed.model, 'model'
+        )
+        return make_chat_work(admission_context, request, admission, parsed)
 
     async def service(request: Request) -> Work:
         name = request.path_params['name']
-        body = await read_body(request, desk.body_max_bytes)
-        admission = await admit(desk, request, name, 'service')
-        return make_service_work(desk, request, admission, body)
+        body = await read_body(request, admission_context.body_max_bytes)
+        admission = await admit(admission_context, request, name, 'service')
+        return make_service_work(admission_context, request, admission, body)
 
     def serving(make_work: MakeWork) -> Callable[..., Awaitable[Response]]:
         async def endpoint(request: Request) -> Response:
             request.state.request_id = uuid.uuid4().hex
             try:
-                _check_open(doors)
-                return AnswerResponse(front, await make_work(request))
+                _check_open(readiness)
+                return AnswerResponse(context, await make_work(request))
             except RefusedError as refusal:
-                front.count_refusal(refusal)
-                return error_response(refusal, request.state.request_id)
+                context.record_refusal(refusal)
+                return make_error_response(refusal, request.state.request_id)
 
         return endpoint
 
@@ -82,7 +90,9 @@
     ]
 
 
-def caller_app(front: Front, doors: Doors, pages: Pages) -> Starlette:
+def make_caller_app(
+    context: ResponseContext, readiness: ReadinessChecks, pages: Pages
+) -> Starlette:
     """Give the web application that callers and operators reach."""
-    routes = [*_request_routes(front, doors), *make_page_routes(pages)]
+    routes = [*_request_routes(context, readiness), *make_page_routes(pages)]
     return Starlette(routes=routes)
--- a/seampond/callers/models.py
+++ b/seampond/callers/models.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-CHARACTERS_PER_TOKEN = 4
+ESTIMATED_CHARACTERS_PER_TOKEN = 4
 
 
 class ChatMessage(BaseModel):
--- a/seampond/callers/answers.py
+++ b/seampond/callers/responses.py
@@ -12,8 +12,8 @@
 from starlette.responses import JSONResponse, Response
 from starlette.types import Receive, Scope, Send
 
-from seampond.callers.desk import Desk
-from seampond.callers.works import REQUEST_ID_HEADER
+from seampond.callers.admission import AdmissionContext
+from seampond.callers.work_builders import REQUEST_ID_HEADER
 from seampond.clock import MS_PER_SECOND
 from seampond.links.messages import Frame, Head
 from seampond.promises import Promises
@@ -26,30 +26,32 @@
 _EVENT_STREAM = 'text/event-stream'
 _logger = logging.getLogger(__name__)
 
-Answer = AsyncGenerator[Head | Frame, None]
+AnswerParts = AsyncGenerator[Head | Frame, None]
 
 
 @dataclass(frozen=True)
-class Front:
+class ResponseContext:
     """What the HTTP border needs."""
 
-    desk: Desk
+    admission_context: AdmissionContext
     placement: Placement
     promises: Promises
     budget: RetryBudget
 
-    def count_refusal(self, refusal: RefusedError) -> None:
+    def record_refusal(self, refusal: RefusedError) -> None:
         """Count a refusal by reason and run word."""
         self.placement.metrics.refusals.labels(
             refusal.reason.value, refusal.run.value
         ).inc()
 
-    def count_outcome(self, work: Work, outcome: str) -> None:
+    def record_outcome(self, work: Work, outcome: str) -> None:
         """Count how a request ended."""
         self.placement.metrics.requests.labels(str(work.tier), outcome).inc()
 
 
-def error_content(refusal: RefusedError, request_id: str) -> dict[str, Any]:
+def make_error_content(
+    refusal: RefusedError, request_id: str
+) -> dict[str, Any]:
     """Give the JSON of a refusal."""
     return {
         'error': {
@@ -62,21 +64,21 @@
     }
 
 
-def error_response(refusal: RefusedError, request_id: str) -> Response:
+def make_error_response(refusal: RefusedError, request_id: str) -> Response:
     """Give the HTTP answer of a refusal."""
     headers = {REQUEST_ID_HEADER: request_id}
     if refusal.retry_after_ms:
         seconds = -(-refusal.retry_after_ms // MS_PER_SECOND)
         headers['retry-after'] = str(seconds)
     return JSONResponse(
-        error_content(refusal, request_id),
+        make_error_content(refusal, request_id),
         status_code=REFUSAL_DETAILS[refusal.reason].status,
         headers=headers,
     )
 
 
 def _error_event(refusal: RefusedError, request_id: str) -> bytes:
-    content = json.dumps(error_content(refusal, request_id))
+    content = json.dumps(make_error_content(refusal, request_id))
     return f'data: {content}\n\n'.encode()
 
 
@@ -109,13 +111,17 @@
 
 
 @asynccontextmanager
-async def _opened(front: Front, work: Work) -> AsyncIterator[Answer]:
+async def _opened(
+    context: ResponseContext, work: Work
+) -> AsyncIterator[AnswerParts]:
     """Open a request, give its answer, close it whatever happens."""
-    dispatcher = front.placement.dispatcher
+    dispatcher = context.placement.dispatcher
     ticket = Ticket(work)
     dispatcher.open(ticket)
-    front.budget.earn()
-    answer = run_request(ticket, front.placement, front.promises, front.budget)
+    context.budget.earn()
+    answer = run_request(
+        ticket, context.placement, context.promises, context.budget
+    )
     try:
         async with aclosing(answer):
             yield answer
@@ -156,9 +162,9 @@
     ends with an error event and a broken connection, never a clean end.
     """
 
-    def __init__(self, front: Front, work: Work) -> None:
+    def __init__(self, context: ResponseContext, work: Work) -> None:
         """Serve `work` when called."""
-        self._front = front
+        self._context = context
         self._work = work
         self._has_started = False
         self.background = None
@@ -168,7 +174,7 @@
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
         """Run the request and send its answer."""
-        front, work = self._front, self._work
+        context, work = self._context, self._work
         try:
             async with _watched(receive, work):
                 await self._answer(send)
@@ -184,16 +190,16 @@
             )
             await self._refuse(internal, scope, receive, send)
         else:
-            front.count_outcome(work, self._outcome())
+            context.record_outcome(work, self._outcome())
 
     def _outcome(self) -> str:
         if self.status_code >= HTTPStatus.BAD_REQUEST:
             return 'failed'
-        now_ms = self._front.placement.clock.now()
+        now_ms = self._context.placement.clock.now()
         return 'late' if now_ms > self._work.deadline_ms else 'in-time'
 
     async def _answer(self, send: Send) -> None:
-        async with _opened(self._front, self._work) as answer:
+        async with _opened(self._context, self._work) as answer:
             head = await anext(answer)
             assert isinstance(head, Head)
             self._note_first(head)
@@ -203,7 +209,7 @@
                 await self._send_whole(head, answer, send)
 
     async def _send_stream(
-        self, head: Head, answer: Answer, send: Send
+        self, head: Head, answer: AnswerParts, send: Send
     ) -> None:
         self._has_started = True
         await send(_start(head, self._work))
@@ -212,7 +218,9 @@
             await send(_body(part.payload, more=True))
         await send(_body(b'', more=False))
 
-    async def _send_whole(self, head: Head, answer: Answer, send: Send) -> None:
+    async def _send_whole(
+        self, head: Head, answer: AnswerParts, send: Send
+    ) -> None:
         parts = [
             part.payload async for part in answer if isinstance(part, Frame)
         ]
@@ -223,19 +231,19 @@
     async def _refuse(
         self, refusal: RefusedError, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        self._front.count_refusal(refusal)
-        self._front.count_outcome(self._work, refusal.reason.value)
+        self._context.record_refusal(refusal)
+        self._context.record_outcome(self._work, refusal.reason.value)
         if refusal.reason is Reason.caller_gone:
             return
         if self._has_started:
             # No closing chunk: the server cuts the connection.
             await send(_body(_error_event(refusal, self._work.id), more=True))
             return
-        response = error_response(refusal, self._work.id)
+        response = make_error_response(refusal, self._work.id)
         await response(scope, receive, send)
 
     def _note_first(self, head: Head) -> None:
-        placement = self._front.placement
+        placement = self._context.placement
         waited_ms = placement.clock.now() - self._work.arrived_ms
         placement.metrics.first_byte.labels(str(self._work.tier)).observe(
             waited_ms / MS_PER_SECOND
--- a/seampond/callers/works.py
+++ b/seampond/callers/work_builders.py
@@ -6,8 +6,13 @@
 
 from starlette.requests import Request
 
-from seampond.callers.desk import CHAT_PATH, Admission, Desk, refuse
-from seampond.callers.models import CHARACTERS_PER_TOKEN, ChatRequest
+from seampond.callers.admission import (
+    CHAT_PATH,
+    Admission,
+    AdmissionContext,
+    make_refusal,
+)
+from seampond.callers.models import ESTIMATED_CHARACTERS_PER_TOKEN, ChatRequest
 from seampond.links.messages import Header
 from seampond.requests import Reason, RefusedError, RunStatus, Work
 from seampond.templates import Template
@@ -33,16 +38,20 @@
     prompt: str = ''
 
 
-def _deadline(desk: Desk, request: Request, template: Template) -> int:
+def _deadline(
+    context: AdmissionContext, request: Request, template: Template
+) -> int:
     text = request.headers.get(DEADLINE_HEADER)
     if text is None:
-        return desk.clock.now() + template.deadline_ms
+        return context.clock.now() + template.deadline_ms
     if not text.lstrip('-').isdecimal():
-        raise refuse(Reason.bad_request, f'{DEADLINE_HEADER}: not a number')
+        raise make_refusal(
+            Reason.bad_request, f'{DEADLINE_HEADER}: not a number'
+        )
     left_ms = int(text)
     if left_ms <= 0:
-        raise refuse(Reason.deadline_past)
-    return desk.clock.now() + min(left_ms, MAX_DEADLINE_MS)
+        raise make_refusal(Reason.deadline_past)
+    return context.clock.now() + min(left_ms, MAX_DEADLINE_MS)
 
 
 def _claim_key(request: Request, admission: Admission) -> str:
@@ -51,20 +60,22 @@
         return ''
     key = request.headers.get(KEY_HEADER, '')
     if not key or len(key) > _MAX_KEY_CHARACTERS:
-        raise refuse(Reason.key_required)
+        raise make_refusal(Reason.key_required)
     digest = hashlib.blake2b(
         key.encode(), digest_size=_DIGEST_BYTES
     ).hexdigest()
     return '/'.join((admission.workspace.name, template.name, digest))
 
 
-def _check_rate(desk: Desk, admission: Admission, tokens: int) -> None:
-    wait_ms = desk.limiter.admit(
+def _check_rate(
+    context: AdmissionContext, admission: Admission, tokens: int
+) -> None:
+    wait_ms = context.limiter.admit(
         admission.workspace.name,
         admission.template.name,
         admission.parameters,
         tokens=tokens,
-        entries=desk.members.live_entries,
+        entries=context.members.live_entries,
     )
     if wait_ms:
         raise RefusedError(
@@ -94,20 +105,23 @@
 
 
 def _make_work(
-    desk: Desk, request: Request, admission: Admission, payload: Payload
+    context: AdmissionContext,
+    request: Request,
+    admission: Admission,
+    payload: Payload,
 ) -> Work:
     """Check deadline, idempotency key and rate, in this order."""
     template = admission.template
     request_id: str = request.state.request_id
-    tokens = -(-len(payload.prompt) // CHARACTERS_PER_TOKEN)
+    tokens = -(-len(payload.prompt) // ESTIMATED_CHARACTERS_PER_TOKEN)
     work = Work(
         id=request_id,
         workspace=admission.workspace.name,
         template=template.name,
         pool=template.pool,
         tier=admission.parameters.tier,
-        arrived_ms=desk.clock.now(),
-        deadline_ms=_deadline(desk, request, template),
+        arrived_ms=context.clock.now(),
+        deadline_ms=_deadline(context, request, template),
         method=request.method,
         path=payload.path,
         body=payload.body,
@@ -117,12 +131,15 @@
         claim_key=_claim_key(request, admission),
         may_wait=admission.parameters.may_wait,
     )
-    _check_rate(desk, admission, tokens)
+    _check_rate(context, admission, tokens)
     return work
 
 
 def make_chat_work(
-    desk: Desk, request: Request, admission: Admission, chat: ChatRequest
+    context: AdmissionContext,
+    request: Request,
+    admission: Admission,
+    chat: ChatRequest,
 ) -> Work:
     """Make the work of a chat completion; counts against the rate."""
     template = admission.template
@@ -134,14 +151,17 @@
     )
     body = forwarded.model_dump_json(exclude_unset=True).encode()
     payload = Payload(CHAT_PATH, body, chat.prompt_text)
-    return _make_work(desk, request, admission, payload)
+    return _make_work(context, request, admission, payload)
 
 
 def make_service_work(
-    desk: Desk, request: Request, admission: Admission, body: bytes
+    context: AdmissionContext,
+    request: Request,
+    admission: Admission,
+    body: bytes,
 ) -> Work:
     """Make the work of a call to a plain service."""
     path = quote(request.path_params['path'], safe=_PATH_SAFE)
     query = request.url.query
     target = f'/{path}?{query}' if query else f'/{path}'
-    return _make_work(desk, request, admission, Payload(target, body))
+    return _make_work(context, request, admission, Payload(target, body))
--- a/seampond/daemons/entry.py
+++ b/seampond/daemons/entry.py
@@ -10,9 +10,9 @@
 from seampond.backing.http import Caller, open_client
 from seampond.backing.http_tables import http_tables
 from seampond.backing.vms import http_vms
-from seampond.callers.answers import Front
-from seampond.callers.app import Doors, caller_app
-from seampond.callers.desk import Desk
+from seampond.callers.admission import AdmissionContext
+from seampond.callers.app import ReadinessChecks, make_caller_app
+from seampond.callers.responses import ResponseContext
 from seampond.clock import Clock
 from seampond.limits import Limiter
 from seampond.links.messages import Hello
@@ -154,7 +154,7 @@
     )
 
 
-def _make_front(parts: EntryParts) -> Front:
+def _make_response_context(parts: EntryParts) -> ResponseContext:
     settings = parts.settings
     placement = Placement(
         dispatcher=parts.dispatcher,
@@ -166,7 +166,7 @@
         hall=settings.hall,
         rng=random.Random(),
     )
-    desk = Desk(
+    admission_context = AdmissionContext(
         holder=parts.holder,
         keys=KeyRing(),
         limiter=Limiter(parts.clock),
@@ -175,7 +175,7 @@
         body_max_bytes=settings.routing.body_max_bytes,
     )
     budget = RetryBudget(settings.routing.retry_share)
-    return Front(desk, placement, parts.promises, budget)
+    return ResponseContext(admission_context, placement, parts.promises, budget)
 
 
 @asynccontextmanager
@@ -213,13 +213,15 @@
             ),
         )
         await stack.enter_async_context(run_tasks(following, membership))
-        doors = Doors(lambda: parts.is_ready, lambda: parts.is_draining)
+        readiness = ReadinessChecks(
+            lambda: parts.is_ready, lambda: parts.is_draining
+        )
         pages = Pages(
             parts.metrics.registry,
             lambda: parts.is_ready and not parts.is_draining,
             parts.show_status,
         )
-        app = caller_app(_make_front(parts), doors, pages)
+        app = make_caller_app(_make_response_context(parts), readiness, pages)
         web = await stack.enter_async_context(
             serve_http(app, settings.listen, drain_ms=settings.drain_ms)
         )
