--- a/seampond/callers/tests/test_border.py
+++ b/seampond/callers/tests/test_border.py
@@ -26,7 +26,7 @@
 class BorderTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.fleet: Fleet = await self.enterAsyncContext(open_fleet())
-        self.parts = self.fleet.entries[0].parts
+        self.components = self.fleet.entries[0].components
         self.client = await self.enterAsyncContext(open_client())
 
     def caller(self, workspace: str, entry: int = 0, key: str = '') -> Caller:
@@ -48,7 +48,7 @@
         self.assertEqual(reply.error['request_id'], reply.request_id)
         self.assertEqual(reply.status, REFUSAL_DETAILS[reason].status)
         self.assertEqual(self.runs(), 0)
-        refusals = self.parts.metrics.refusals
+        refusals = self.components.metrics.refusals
         self.assertEqual(counts_by_labels(refusals), {f'{reason.value}/no': 1})
 
     async def test_streamed_and_whole_answers_arrive(self) -> None:
@@ -114,7 +114,7 @@
         self.assert_refused(reply, Reason.key_required)
 
     async def test_a_draining_entry_refuses_new_work(self) -> None:
-        self.fleet.entries[0].parts.is_draining = True
+        self.fleet.entries[0].components.is_draining = True
         reply = await self.caller('trainers').chat(ANSWER)
         self.assert_refused(reply, Reason.draining)
         self.assertEqual(reply.retry_after, '1')
@@ -176,12 +176,12 @@
         reply = await caller.post('/services/pass-check/gate/7', b'')
         self.assertEqual(reply.status, 500)
         self.assertEqual(json.loads(reply.body)['error'], 'failing')
-        outcomes = counts_by_labels(self.parts.metrics.requests)
+        outcomes = counts_by_labels(self.components.metrics.requests)
         self.assertEqual(outcomes, {'1/failed': 1})
 
     async def test_a_caller_that_leaves_stops_its_run(self) -> None:
         chat = ChatRequest('trainer-answer', max_tokens=2000)
-        host, _, port = self.parts.settings.listen.rpartition(':')
+        host, _, port = self.components.settings.listen.rpartition(':')
         _, writer = await asyncio.open_connection(host, int(port))
         key = self.fleet.keys['trainers']
         head = (
@@ -198,7 +198,7 @@
             await asyncio.sleep(0.01)
         cancelled = sum(batch.totals.cancelled for batch in batches)
         self.assertEqual(cancelled, 1)
-        while self.parts.dispatcher.open_tickets:
+        while self.components.dispatcher.open_tickets:
             await asyncio.sleep(0.01)
 
     async def test_pages_for_operators(self) -> None:
--- a/seampond/daemons/entry.py
+++ b/seampond/daemons/entry.py
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class EntryParts:
+class EntryComponents:
     """The state of one entry, wired together."""
 
     settings: EntrySettings
@@ -105,7 +105,7 @@
 class RunningEntry:
     """A running entry."""
 
-    parts: EntryParts
+    components: EntryComponents
     web: WebServer
 
     @property
@@ -122,18 +122,20 @@
         The balancer needs a moment to see that we are not ready; until
         then requests are still served.
         """
-        settings, clock = self.parts.settings, self.parts.clock
+        settings, clock = self.components.settings, self.components.clock
         _logger.info('entry drains', extra={'entry': settings.name})
-        self.parts.is_draining = True
+        self.components.is_draining = True
         await clock.sleep(settings.linger_ms)
         await self.web.drain()
-        self.parts.promises.check(
-            Rule.drain, self.parts.dispatcher.open_tickets == 0, step='drain'
+        self.components.promises.check(
+            Rule.drain,
+            self.components.dispatcher.open_tickets == 0,
+            step='drain',
         )
         _logger.info('entry drained', extra={'entry': settings.name})
 
 
-def make_entry(settings: EntrySettings, clock: Clock) -> EntryParts:
+def build_components(settings: EntrySettings, clock: Clock) -> EntryComponents:
     """Wire the state of an entry together."""
     metrics = EntryMetrics()
     promises = Promises(lambda rule: metrics.violations.labels(rule).inc())
@@ -141,7 +143,7 @@
         settings.routing.waiting_max, settings.routing.waiting_max_bytes
     )
     room = WaitingRoom(size, promises)
-    return EntryParts(
+    return EntryComponents(
         settings=settings,
         clock=clock,
         metrics=metrics,
@@ -154,28 +156,30 @@
     )
 
 
-def _make_response_context(parts: EntryParts) -> ResponseContext:
-    settings = parts.settings
+def _make_response_context(components: EntryComponents) -> ResponseContext:
+    settings = components.settings
     placement = Placement(
-        dispatcher=parts.dispatcher,
-        room=parts.room,
-        rate=DepartureRate(parts.clock),
+        dispatcher=components.dispatcher,
+        room=components.room,
+        rate=DepartureRate(components.clock),
         settings=settings.routing,
-        clock=parts.clock,
-        metrics=parts.metrics,
+        clock=components.clock,
+        metrics=components.metrics,
         hall=settings.hall,
         rng=random.Random(),
     )
     admission_context = AdmissionContext(
-        holder=parts.holder,
+        holder=components.holder,
         keys=KeyRing(),
-        limiter=Limiter(parts.clock),
-        members=parts.members,
-        clock=parts.clock,
+        limiter=Limiter(components.clock),
+        members=components.members,
+        clock=components.clock,
         body_max_bytes=settings.routing.body_max_bytes,
     )
     budget = RetryBudget(settings.routing.retry_share)
-    return ResponseContext(admission_context, placement, parts.promises, budget)
+    return ResponseContext(
+        admission_context, placement, components.promises, budget
+    )
 
 
 @asynccontextmanager
@@ -183,15 +187,15 @@
     settings: EntrySettings, clock: Clock
 ) -> AsyncIterator[RunningEntry]:
     """Run an entry until the end of the `with`."""
-    parts = make_entry(settings, clock)
+    components = build_components(settings, clock)
     platform = settings.platform
     keeping = Keeping(
-        dispatcher=parts.dispatcher,
+        dispatcher=components.dispatcher,
         settings=settings.links,
-        make_hello=parts.make_hello,
-        holder=parts.holder,
+        make_hello=components.make_hello,
+        holder=components.holder,
         clock=clock,
-        metrics=parts.metrics,
+        metrics=components.metrics,
     )
     async with AsyncExitStack() as stack:
         client = await stack.enter_async_context(open_client())
@@ -200,12 +204,12 @@
         )
         list_vms = http_vms(Caller(platform.vms, client, platform.timeout_ms))
         following = follow_configuration(
-            tables, parts.holder, clock, settings.config_poll_ms
+            tables, components.holder, clock, settings.config_poll_ms
         )
         membership = follow_members(
             list_vms,
             PeerTasks(keeping, {}),
-            parts.members,
+            components.members,
             SubsetPlan(
                 settings.name,
                 settings.routing.links_per_pool,
@@ -214,15 +218,17 @@
         )
         await stack.enter_async_context(run_tasks(following, membership))
         readiness = ReadinessChecks(
-            lambda: parts.is_ready, lambda: parts.is_draining
+            lambda: components.is_ready, lambda: components.is_draining
         )
         pages = Pages(
-            parts.metrics.registry,
-            lambda: parts.is_ready and not parts.is_draining,
-            parts.show_status,
+            components.metrics.registry,
+            lambda: components.is_ready and not components.is_draining,
+            components.show_status,
+        )
+        app = make_caller_app(
+            _make_response_context(components), readiness, pages
         )
-        app = make_caller_app(_make_response_context(parts), readiness, pages)
         web = await stack.enter_async_context(
             serve_http(app, settings.listen, drain_ms=settings.drain_ms)
         )
-        yield RunningEntry(parts, web)
+        yield RunningEntry(components, web)
--- a/seampond/daemons/tests/test_daemons.py
+++ b/seampond/daemons/tests/test_daemons.py
@@ -73,6 +73,6 @@
 
     async def test_an_entry_that_would_cut_a_request_says_so(self) -> None:
         entry = self.fleet.entries[1]
-        entry.parts.dispatcher.open(build_ticket())
+        entry.components.dispatcher.open(build_ticket())
         with self.assertRaises(PromiseError):
             await entry.drain()
--- a/seampond/demo/__main__.py
+++ b/seampond/demo/__main__.py
@@ -42,7 +42,7 @@
 
 def print_curl_commands(fleet: Fleet) -> None:
     """Print a working curl command for each workspace and template."""
-    configuration = fleet.entries[0].parts.holder.current
+    configuration = fleet.entries[0].components.holder.current
     url = fleet.entries[0].url
     for workspace in configuration.workspaces.values():
         key = fleet.keys[workspace.name]
--- a/seampond/demo/fleet.py
+++ b/seampond/demo/fleet.py
@@ -76,7 +76,9 @@
     def promises_broken(self) -> int:
         """Number of violations recorded by all roles."""
         agents = sum(agent.promises.broken for agent in self.agents)
-        entries = sum(entry.parts.promises.broken for entry in self.entries)
+        entries = sum(
+            entry.components.promises.broken for entry in self.entries
+        )
         return agents + entries + sum(self.broken_by_stopped_agents)
 
 
@@ -154,9 +156,9 @@
 
 
 def _is_connected_to_all(entry: RunningEntry, agents: int) -> bool:
-    peers = entry.parts.dispatcher.peers.values()
+    peers = entry.components.dispatcher.peers.values()
     up = sum(peer.takes_work for peer in peers)
-    return entry.parts.is_ready and up == agents
+    return entry.components.is_ready and up == agents
 
 
 @asynccontextmanager
--- a/seampond/demo/traffic.py
+++ b/seampond/demo/traffic.py
@@ -45,7 +45,7 @@
 
 
 def _workspace_templates(fleet: Fleet) -> list[tuple[Workspace, Template]]:
-    configuration = fleet.entries[0].parts.holder.current
+    configuration = fleet.entries[0].components.holder.current
     return [
         (workspace, configuration.templates[name])
         for workspace in configuration.workspaces.values()
