--- a/seampond/daemons/__init__.py
+++ b/seampond/daemons/__init__.py
@@ -1,4 +1,4 @@
-"""The daemons: each a context manager that runs one role."""
+"""Daemons; each is a context manager that runs one role."""
 
 from seampond.daemons.agent import run_agent as run_agent
 from seampond.daemons.entry import run_entry as run_entry
--- a/seampond/daemons/agent.py
+++ b/seampond/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent daemon."""
+"""The agent daemon, which serves entries in front of a backend server."""
 
 import logging
 import secrets
@@ -26,13 +26,22 @@
 
 _INCARNATION_BYTES = 8
 _DRAIN_POLL_MS = 20
-_SPARE_CONNECTIONS = 8
+_SPARE_CONNECTIONS = 8  # for calls beyond the running requests
 _logger = logging.getLogger(__name__)
 
 
 @dataclass
 class RunningAgent:
-    """A running agent."""
+    """A running agent and its components.
+
+    Parameters
+    ----------
+    incarnation : str
+        Random identifier of this start of the process.
+    web : WebServer
+        Server of the status pages; None until it listens.
+
+    """
 
     settings: AgentSettings
     clock: Clock
@@ -43,7 +52,7 @@
     web: WebServer | None = None
 
     def make_hello(self, nonce: bytes) -> Hello:
-        """Say who we are on a link."""
+        """Return the message that identifies this agent on a link."""
         return Hello(
             name=self.settings.name,
             incarnation=self.incarnation,
@@ -54,7 +63,7 @@
         )
 
     def show_status(self) -> dict[str, object]:
-        """Give what `seampond status` shows."""
+        """Return the status that `seampond status` prints."""
         pulse = self.agent.pulse
         return {
             'name': self.settings.name,
@@ -71,16 +80,22 @@
         }
 
     async def drain(self) -> None:
-        """Planned stop: no new work; return when what runs was received."""
+        """Stop as planned: accept no new work and finish running requests.
+
+        Explanation
+        -----------
+        Waits until the entries have received all answers, for `drain_ms` at
+        most.  The promise `drain` is broken if work is left then.
+        """
         self.agent.leave()
-        give_up_ms = self.clock.now() + self.settings.drain_ms
-        while not self.agent.is_idle and self.clock.now() < give_up_ms:
+        deadline_ms = self.clock.now() + self.settings.drain_ms
+        while not self.agent.is_idle and self.clock.now() < deadline_ms:
             await self.clock.sleep(_DRAIN_POLL_MS)
         self.promises.check(Rule.drain, self.agent.is_idle, step='drain')
         _logger.info('agent drained', extra={'agent': self.settings.name})
 
 
-def _status_app(running: RunningAgent) -> Starlette:
+def _make_status_app(running: RunningAgent) -> Starlette:
     pages = Pages(
         running.metrics.registry,
         lambda: not running.agent.is_leaving,
@@ -107,7 +122,7 @@
             Caller(platform.objects, client, platform.timeout_ms)
         )
         claims = Claims(tables, clock, f'{settings.name}/{incarnation}')
-        # Claims must never wait behind streams for a connection.
+        # A separate client: claims do not wait for connections of streams.
         call = await stack.enter_async_context(
             open_backend(
                 backend.url,
@@ -130,6 +145,6 @@
             )
         )
         running.web = await stack.enter_async_context(
-            serve_http(_status_app(running), settings.status_listen)
+            serve_http(_make_status_app(running), settings.status_listen)
         )
         yield running
--- a/seampond/daemons/entry.py
+++ b/seampond/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon."""
+"""The entry daemon, which accepts requests and sends them to agents."""
 
 import logging
 import random
@@ -43,7 +43,16 @@
 
 @dataclass
 class EntryComponents:
-    """The state of one entry, wired together."""
+    """The components of one entry.
+
+    Parameters
+    ----------
+    incarnation : str
+        Random identifier of this start of the process.
+    is_draining : bool
+        Whether a planned stop has begun.
+
+    """
 
     settings: EntrySettings
     clock: Clock
@@ -62,7 +71,7 @@
         return self.holder.current.generation > 0
 
     def make_hello(self, nonce: bytes) -> Hello:
-        """Say who we are on a link."""
+        """Return the message that identifies this entry on a link."""
         return Hello(
             name=self.settings.name,
             incarnation=self.incarnation,
@@ -72,7 +81,7 @@
         )
 
     def show_status(self) -> dict[str, object]:
-        """Give what `seampond status` shows."""
+        """Return the status that `seampond status` prints."""
         agents = [
             {
                 'name': peer.name,
@@ -110,20 +119,20 @@
 
     @property
     def url(self) -> str:
-        """Where callers reach it."""
+        """The base URL for callers."""
         address = self.web.address
         return f'http://{address}'
 
     async def drain(self) -> None:
-        """Planned stop: readiness off, linger, then finish what is open.
+        """Stop as planned: not ready, linger, then finish open requests.
 
         Explanation
         -----------
-        The balancer needs a moment to see that we are not ready; until
-        then requests are still served.
+        The load balancer sends requests until it sees that this entry is
+        not ready; they are served meanwhile.
         """
         settings, clock = self.components.settings, self.components.clock
-        _logger.info('entry drains', extra={'entry': settings.name})
+        _logger.info('entry draining', extra={'entry': settings.name})
         self.components.is_draining = True
         await clock.sleep(settings.linger_ms)
         await self.web.drain()
@@ -136,7 +145,7 @@
 
 
 def build_components(settings: EntrySettings, clock: Clock) -> EntryComponents:
-    """Wire the state of an entry together."""
+    """Return the components of an entry."""
     metrics = EntryMetrics()
     promises = Promises(lambda rule: metrics.violations.labels(rule).inc())
     size = RoomSize(
@@ -203,10 +212,10 @@
             Caller(platform.tables, client, platform.timeout_ms)
         )
         list_vms = http_vms(Caller(platform.vms, client, platform.timeout_ms))
-        following = follow_configuration(
+        configuration_updates = follow_configuration(
             tables, components.holder, clock, settings.config_poll_ms
         )
-        membership = follow_members(
+        membership_updates = follow_members(
             list_vms,
             PeerTasks(keeping, {}),
             components.members,
@@ -216,7 +225,9 @@
                 settings.vms_poll_ms,
             ),
         )
-        await stack.enter_async_context(run_tasks(following, membership))
+        await stack.enter_async_context(
+            run_tasks(configuration_updates, membership_updates)
+        )
         readiness = ReadinessChecks(
             lambda: components.is_ready, lambda: components.is_draining
         )
--- a/seampond/daemons/standins.py
+++ b/seampond/daemons/standins.py
@@ -1,4 +1,4 @@
-"""The daemons of the stand-ins."""
+"""Daemons that stand in for the platform and a backend server."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -36,7 +36,7 @@
 async def run_platform(
     settings: PlatformStandInSettings, clock: Clock
 ) -> AsyncIterator[RunningPlatform]:
-    """Run the platform's stand-ins until the end of the `with`."""
+    """Run the platform stand-in until the end of the `with`."""
     platform = Platform(settings, clock)
     if settings.seed_file:
         seed = read_seed(Path(settings.seed_file))
@@ -49,7 +49,7 @@
 async def run_engine(
     settings: EngineStandInSettings, clock: Clock
 ) -> AsyncIterator[RunningEngine]:
-    """Run a backend server's stand-in until the end of the `with`."""
+    """Run the engine stand-in until the end of the `with`."""
     async with open_engine(settings, clock) as engine:
         async with serve_http(engine_app(engine), settings.listen) as web:
             yield RunningEngine(engine, web)
--- a/seampond/daemons/tests/test_daemons.py
+++ b/seampond/daemons/tests/test_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons: foreign talk on the port, a planned stop that would cut."""
+"""Guard against invalid bytes on a link port and drains that lose work."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 CHAT = ChatRequest('trainer-answer', max_tokens=30)
 SHORT_DRAIN = 'drain_ms = 100\n\n[agent.backend]'
-FOREIGN = (
+FOREIGN_MESSAGES = (
     b'GET / HTTP/1.1\r\nHost: x\r\n\r\n',
     b'\0\0\0\x08garbage!',
     b'\0\0\0\0',
@@ -36,42 +36,42 @@
             self.fleet.entries[0].url, self.fleet.keys['trainers'], client
         )
 
-    def running_agents(self):  # type: ignore[no-untyped-def]
+    def busy_agents(self):  # type: ignore[no-untyped-def]
         return [
             running
             for running in self.fleet.agents
             if running.agent.pulse.running
         ]
 
-    async def test_foreign_talk_closes_only_its_own_link(self) -> None:
+    async def test_foreign_message_closes_only_its_own_link(self) -> None:
         call = asyncio.create_task(self.caller.chat(CHAT))
         for running in self.fleet.agents:
             host, _, port = running.settings.listen.rpartition(':')
-            for talk in FOREIGN:
+            for message in FOREIGN_MESSAGES:
                 reader, writer = await asyncio.open_connection(host, int(port))
-                writer.write(talk)
-                # Our hello may come first; then the end of the link.
+                writer.write(message)
+                # The agent may send its hello before it closes the link.
                 async with asyncio.timeout(10):
                     await reader.read()
                 writer.close()
             errors = counts_by_labels(running.metrics.link_errors)
-            foreign = [
+            foreign_counts = [
                 count
                 for kind, count in errors.items()
                 if kind.startswith('ForeignMessageError')
             ]
-            self.assertEqual(sum(foreign), len(FOREIGN))
+            self.assertEqual(sum(foreign_counts), len(FOREIGN_MESSAGES))
         check_chat(CHAT, await call)
 
-    async def test_an_agent_that_would_cut_a_run_says_so(self) -> None:
+    async def test_agent_drain_with_unfinished_run_breaks_promise(self) -> None:
         call = asyncio.create_task(self.caller.chat(CHAT))
-        while not self.running_agents():
+        while not self.busy_agents():
             await asyncio.sleep(0.01)
         with self.assertRaises(PromiseError):
-            await self.running_agents()[0].drain()
+            await self.busy_agents()[0].drain()
         check_chat(CHAT, await call)
 
-    async def test_an_entry_that_would_cut_a_request_says_so(self) -> None:
+    async def test_entry_drain_with_open_request_breaks_promise(self) -> None:
         entry = self.fleet.entries[1]
         entry.components.dispatcher.open(build_ticket())
         with self.assertRaises(PromiseError):
