--- a/seampond/callers/__init__.py
+++ b/seampond/callers/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP border towards callers."""
+"""The HTTP interface to callers."""
 
 from seampond.callers.admission import AdmissionContext as AdmissionContext
 from seampond.callers.app import make_caller_app as make_caller_app
--- a/seampond/callers/admission.py
+++ b/seampond/callers/admission.py
@@ -1,4 +1,4 @@
-"""Let a caller's request in: body, key, template, parameters."""
+"""Admission of requests by body, API key, template and parameters."""
 
 from dataclasses import dataclass
 
@@ -20,13 +20,13 @@
 
 
 def make_refusal(reason: Reason, detail: str = '') -> RefusedError:
-    """Make the refusal of a request that was not let in."""
+    """Return the error for a request that is not admitted."""
     return RefusedError(reason, RunStatus.never, step=_STEP, detail=detail)
 
 
 @dataclass(frozen=True)
 class AdmissionContext:
-    """What admitting a request needs."""
+    """The dependencies of the admission of requests."""
 
     holder: ConfigurationHolder
     keys: KeyRing
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Who asks for which kind of work."""
+    """The workspace, template and parameters of an admitted request."""
 
     workspace: Workspace
     template: Template
@@ -46,7 +46,14 @@
 
 
 async def read_body(request: Request, max_bytes: int) -> bytes:
-    """Read the body, up to the limit."""
+    """Read the body of a request.
+
+    Raises
+    ------
+    RefusedError
+        If the body is longer than `max_bytes`.
+
+    """
     parts = []
     size = 0
     async for part in request.stream():
@@ -60,21 +67,21 @@
 
 
 def parse_chat(body: bytes) -> ChatRequest:
-    """Read a chat completion request.
+    """Parse a chat completion request.
 
     Raises
     ------
     RefusedError
-        If it is not one; names the first bad field.
+        If the body is invalid; the message names the first bad field.
 
     """
     try:
         return ChatRequest.model_validate_json(body)
     except ValidationError as error:
         problem = error.errors()[0]
-        where = '.'.join(str(part) for part in problem['loc']) or 'body'
+        location = '.'.join(str(part) for part in problem['loc']) or 'body'
         raise make_refusal(
-            Reason.bad_request, f'{where}: {problem["msg"]}'
+            Reason.bad_request, f'{location}: {problem["msg"]}'
         ) from error
 
 
@@ -96,12 +103,13 @@
 async def admit(
     context: AdmissionContext, request: Request, template_name: str, kind: str
 ) -> Admission:
-    """Find the workspace, the template and the parameters.
+    """Authenticate a request and find its template and parameters.
 
     Raises
     ------
     RefusedError
-        If the key is wrong or the workspace has no such template.
+        If the key is wrong, or the workspace has no template of this name
+        and kind.
 
     """
     workspace = await _authenticate(context, request)
--- a/seampond/callers/app.py
+++ b/seampond/callers/app.py
@@ -1,4 +1,4 @@
-"""The web application of an entry."""
+"""The web application that an entry serves to callers."""
 
 import uuid
 from collections.abc import Awaitable, Callable
@@ -26,20 +26,20 @@
 from seampond.requests import Reason, RefusedError, RunStatus, Work
 
 _METHODS = ('GET', 'POST', 'PUT', 'PATCH', 'DELETE')
-_DRAIN_RETRY_MS = 1000
+_UNREADY_RETRY_MS = 1000
 
-MakeWork = Callable[[Request], Awaitable[Work]]
+WorkBuilder = Callable[[Request], Awaitable[Work]]
 
 
 @dataclass(frozen=True)
 class ReadinessChecks:
-    """Whether new requests are let in."""
+    """Functions that tell whether new requests are accepted."""
 
     is_ready: Callable[[], bool]
     is_draining: Callable[[], bool]
 
 
-def _check_open(readiness: ReadinessChecks) -> None:
+def _check_accepting(readiness: ReadinessChecks) -> None:
     if readiness.is_draining():
         reason = Reason.draining
     elif readiness.is_ready():
@@ -47,7 +47,7 @@
     else:
         reason = Reason.not_ready
     raise RefusedError(
-        reason, RunStatus.never, step='admit', retry_after_ms=_DRAIN_RETRY_MS
+        reason, RunStatus.never, step='admit', retry_after_ms=_UNREADY_RETRY_MS
     )
 
 
@@ -70,12 +70,14 @@
         admission = await admit(admission_context, request, name, 'service')
         return make_service_work(admission_context, request, admission, body)
 
-    def serving(make_work: MakeWork) -> Callable[..., Awaitable[Response]]:
+    def make_endpoint(
+        build_work: WorkBuilder,
+    ) -> Callable[..., Awaitable[Response]]:
         async def endpoint(request: Request) -> Response:
             request.state.request_id = uuid.uuid4().hex
             try:
-                _check_open(readiness)
-                return AnswerResponse(context, await make_work(request))
+                _check_accepting(readiness)
+                return AnswerResponse(context, await build_work(request))
             except RefusedError as refusal:
                 context.record_refusal(refusal)
                 return make_error_response(refusal, request.state.request_id)
@@ -83,9 +85,11 @@
         return endpoint
 
     return [
-        Route(CHAT_PATH, serving(chat), methods=['POST']),
+        Route(CHAT_PATH, make_endpoint(chat), methods=['POST']),
         Route(
-            '/services/{name}/{path:path}', serving(service), methods=_METHODS
+            '/services/{name}/{path:path}',
+            make_endpoint(service),
+            methods=_METHODS,
         ),
     ]
 
@@ -93,6 +97,6 @@
 def make_caller_app(
     context: ResponseContext, readiness: ReadinessChecks, pages: Pages
 ) -> Starlette:
-    """Give the web application that callers and operators reach."""
+    """Return the web application for callers and operators."""
     routes = [*_request_routes(context, readiness), *make_page_routes(pages)]
     return Starlette(routes=routes)
--- a/seampond/callers/models.py
+++ b/seampond/callers/models.py
@@ -1,4 +1,4 @@
-"""What callers send, validated at the border."""
+"""Models that validate the JSON of callers."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class ChatMessage(BaseModel):
-    """One message of a chat; fields that we don't use pass through."""
+    """One message of a chat; unknown fields are forwarded unchanged."""
 
     model_config = ConfigDict(extra='allow')
 
@@ -17,7 +17,7 @@
 
     @property
     def text(self) -> str:
-        """The content as one text."""
+        """The text of the content, with its text parts joined."""
         if isinstance(self.content, str):
             return self.content
         parts = self.content or []
@@ -29,7 +29,7 @@
 
 
 class ChatRequest(BaseModel):
-    """A chat completion; `model` names the template."""
+    """A chat completion request; `model` names the template."""
 
     model_config = ConfigDict(extra='allow')
 
@@ -39,5 +39,5 @@
 
     @property
     def prompt_text(self) -> str:
-        """All messages, in order."""
+        """The text of all messages, in order."""
         return '\n'.join(message.text for message in self.messages)
--- a/seampond/callers/responses.py
+++ b/seampond/callers/responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers: whole, streamed, or a typed refusal."""
+"""HTTP responses to callers: complete, streamed or an error."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class ResponseContext:
-    """What the HTTP border needs."""
+    """The dependencies of the handling of requests."""
 
     admission_context: AdmissionContext
     placement: Placement
@@ -39,20 +39,20 @@
     budget: RetryBudget
 
     def record_refusal(self, refusal: RefusedError) -> None:
-        """Count a refusal by reason and run word."""
+        """Count a refusal by reason and run status."""
         self.placement.metrics.refusals.labels(
             refusal.reason.value, refusal.run.value
         ).inc()
 
     def record_outcome(self, work: Work, outcome: str) -> None:
-        """Count how a request ended."""
+        """Count a finished request by tier and outcome."""
         self.placement.metrics.requests.labels(str(work.tier), outcome).inc()
 
 
 def make_error_content(
     refusal: RefusedError, request_id: str
 ) -> dict[str, Any]:
-    """Give the JSON of a refusal."""
+    """Return the JSON object of a refusal."""
     return {
         'error': {
             'type': 'seampond_error',
@@ -65,7 +65,7 @@
 
 
 def make_error_response(refusal: RefusedError, request_id: str) -> Response:
-    """Give the HTTP answer of a refusal."""
+    """Return the HTTP response of a refusal."""
     headers = {REQUEST_ID_HEADER: request_id}
     if refusal.retry_after_ms:
         seconds = -(-refusal.retry_after_ms // MS_PER_SECOND)
@@ -77,32 +77,34 @@
     )
 
 
-def _error_event(refusal: RefusedError, request_id: str) -> bytes:
+def _make_error_event(refusal: RefusedError, request_id: str) -> bytes:
     content = json.dumps(make_error_content(refusal, request_id))
     return f'data: {content}\n\n'.encode()
 
 
 @asynccontextmanager
-async def _watched(receive: Receive, work: Work) -> AsyncIterator[None]:
-    """Turn the caller's going away into a refusal of the body."""
-    owner = asyncio.current_task()
-    assert owner is not None
-    gone = asyncio.Event()
+async def _watch_disconnect(
+    receive: Receive, work: Work
+) -> AsyncIterator[None]:
+    """Cancel the body if the caller disconnects, and raise a refusal."""
+    request_task = asyncio.current_task()
+    assert request_task is not None
+    has_disconnected = asyncio.Event()
 
     async def watch() -> None:
         message = await receive()
         while message['type'] != 'http.disconnect':
             message = await receive()
-        gone.set()
-        owner.cancel()
+        has_disconnected.set()
+        request_task.cancel()
 
     watcher = asyncio.create_task(watch())
     try:
         yield
     except asyncio.CancelledError:
-        if not gone.is_set():
+        if not has_disconnected.is_set():
             raise
-        owner.uncancel()
+        request_task.uncancel()
         raise RefusedError(
             Reason.caller_gone, RunStatus.maybe, step='answer', peer=work.id
         ) from None
@@ -111,10 +113,10 @@
 
 
 @asynccontextmanager
-async def _opened(
+async def _open_request(
     context: ResponseContext, work: Work
 ) -> AsyncIterator[AnswerParts]:
-    """Open a request, give its answer, close it whatever happens."""
+    """Register a request, yield its answer, and unregister it at exit."""
     dispatcher = context.placement.dispatcher
     ticket = Ticket(work)
     dispatcher.open(ticket)
@@ -136,7 +138,7 @@
     )
 
 
-def _start(head: Head, work: Work) -> dict[str, Any]:
+def _make_start_message(head: Head, work: Work) -> dict[str, Any]:
     headers = [
         (header.name.encode(), header.value.encode()) for header in head.headers
     ]
@@ -148,22 +150,22 @@
     }
 
 
-def _body(payload: bytes, *, more: bool) -> dict[str, Any]:
+def _make_body_message(payload: bytes, *, more: bool) -> dict[str, Any]:
     return {'type': 'http.response.body', 'body': payload, 'more_body': more}
 
 
 class AnswerResponse(Response):
-    """Serves one request in the task of its connection.
+    """Serve one request in the task of its connection.
 
     Explanation
     -----------
-    A whole answer is sent once it is complete, so that a failure is still
-    a typed error; a stream is passed on as it comes, and one that fails
-    ends with an error event and a broken connection, never a clean end.
+    An answer that is not a stream is buffered, so that a failure can still
+    be reported by status.  A stream is relayed as it arrives; if it fails,
+    it ends with an error event and an aborted connection.
     """
 
     def __init__(self, context: ResponseContext, work: Work) -> None:
-        """Serve `work` when called."""
+        """Store the work, which is run when the response is called."""
         self._context = context
         self._work = work
         self._has_started = False
@@ -173,10 +175,10 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Run the request and send its answer."""
+        """Run the request and send its response."""
         context, work = self._context, self._work
         try:
-            async with _watched(receive, work):
+            async with _watch_disconnect(receive, work):
                 await self._answer(send)
         except RefusedError as refusal:
             await self._refuse(refusal, scope, receive, send)
@@ -199,34 +201,34 @@
         return 'late' if now_ms > self._work.deadline_ms else 'in-time'
 
     async def _answer(self, send: Send) -> None:
-        async with _opened(self._context, self._work) as answer:
+        async with _open_request(self._context, self._work) as answer:
             head = await anext(answer)
             assert isinstance(head, Head)
-            self._note_first(head)
+            self._record_first_byte(head)
             if _is_stream(head):
                 await self._send_stream(head, answer, send)
             else:
-                await self._send_whole(head, answer, send)
+                await self._send_complete(head, answer, send)
 
     async def _send_stream(
         self, head: Head, answer: AnswerParts, send: Send
     ) -> None:
         self._has_started = True
-        await send(_start(head, self._work))
+        await send(_make_start_message(head, self._work))
         async for part in answer:
             assert isinstance(part, Frame)
-            await send(_body(part.payload, more=True))
-        await send(_body(b'', more=False))
+            await send(_make_body_message(part.payload, more=True))
+        await send(_make_body_message(b'', more=False))
 
-    async def _send_whole(
+    async def _send_complete(
         self, head: Head, answer: AnswerParts, send: Send
     ) -> None:
         parts = [
             part.payload async for part in answer if isinstance(part, Frame)
         ]
         self._has_started = True
-        await send(_start(head, self._work))
-        await send(_body(b''.join(parts), more=False))
+        await send(_make_start_message(head, self._work))
+        await send(_make_body_message(b''.join(parts), more=False))
 
     async def _refuse(
         self, refusal: RefusedError, scope: Scope, receive: Receive, send: Send
@@ -236,13 +238,17 @@
         if refusal.reason is Reason.caller_gone:
             return
         if self._has_started:
-            # No closing chunk: the server cuts the connection.
-            await send(_body(_error_event(refusal, self._work.id), more=True))
+            # Without a final chunk, the server aborts the connection.
+            await send(
+                _make_body_message(
+                    _make_error_event(refusal, self._work.id), more=True
+                )
+            )
             return
         response = make_error_response(refusal, self._work.id)
         await response(scope, receive, send)
 
-    def _note_first(self, head: Head) -> None:
+    def _record_first_byte(self, head: Head) -> None:
         placement = self._context.placement
         waited_ms = placement.clock.now() - self._work.arrived_ms
         placement.metrics.first_byte.labels(str(self._work.tier)).observe(
--- a/seampond/callers/tests/test_border.py
+++ b/seampond/callers/tests/test_border.py
@@ -1,4 +1,4 @@
-"""The HTTP border: whole path in one process, and every bad input."""
+"""Requests over HTTP through entry and engine, and invalid requests."""
 
 import asyncio
 import json
@@ -19,24 +19,26 @@
 )
 from seampond.testing.fleets import open_fleet
 
-ANSWER = ChatRequest('trainer-answer', max_tokens=2)
-DRAFT = ChatRequest('renewal-draft', max_tokens=2)
+ANSWER_REQUEST = ChatRequest('trainer-answer', max_tokens=2)
+DRAFT_REQUEST = ChatRequest('renewal-draft', max_tokens=2)
 
 
-class BorderTest(unittest.IsolatedAsyncioTestCase):
+class CallerInterfaceTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.fleet: Fleet = await self.enterAsyncContext(open_fleet())
         self.components = self.fleet.entries[0].components
         self.client = await self.enterAsyncContext(open_client())
 
-    def caller(self, workspace: str, entry: int = 0, key: str = '') -> Caller:
+    def make_caller(
+        self, workspace: str, entry: int = 0, key: str = ''
+    ) -> Caller:
         return Caller(
             self.fleet.entries[entry].url,
             key or self.fleet.keys[workspace],
             self.client,
         )
 
-    def runs(self) -> int:
+    def count_runs(self) -> int:
         return sum(
             running.engine.runs.total() for running in self.fleet.engines
         )
@@ -47,20 +49,20 @@
         self.assertTrue(reply.request_id)
         self.assertEqual(reply.error['request_id'], reply.request_id)
         self.assertEqual(reply.status, REFUSAL_DETAILS[reason].status)
-        self.assertEqual(self.runs(), 0)
+        self.assertEqual(self.count_runs(), 0)
         refusals = self.components.metrics.refusals
         self.assertEqual(counts_by_labels(refusals), {f'{reason.value}/no': 1})
 
-    async def test_streamed_and_whole_answers_arrive(self) -> None:
+    async def test_streamed_and_complete_answers_arrive(self) -> None:
         for is_stream in (True, False):
             chat = ChatRequest(
                 'trainer-answer', max_tokens=3, is_stream=is_stream
             )
-            reply = await self.caller('trainers').chat(chat)
+            reply = await self.make_caller('trainers').chat(chat)
             self.assertEqual(check_chat(chat, reply)['completion_tokens'], 3)
 
-    async def test_a_plain_service_is_passed_through(self) -> None:
-        reply = await self.caller('turnstiles').post(
+    async def test_a_service_request_is_forwarded(self) -> None:
+        reply = await self.make_caller('turnstiles').post(
             '/services/pass-check/gate%20a/7?side=left', b'{"pass": 1}'
         )
         content = json.loads(reply.body)
@@ -69,117 +71,123 @@
         self.assertEqual(content['request_id'], reply.request_id)
 
     async def test_bad_json_is_refused(self) -> None:
-        reply = await self.caller('trainers').post(
+        reply = await self.make_caller('trainers').post(
             '/v1/chat/completions', b'{"model": '
         )
         self.assert_refused(reply, Reason.bad_request)
 
     async def test_a_missing_field_is_named(self) -> None:
-        reply = await self.caller('trainers').post(
+        reply = await self.make_caller('trainers').post(
             '/v1/chat/completions', b'{"model": "trainer-answer"}'
         )
         self.assert_refused(reply, Reason.bad_request)
         self.assertIn('messages', reply.error['message'])
 
     async def test_an_unknown_template_is_refused(self) -> None:
-        reply = await self.caller('trainers').chat(ChatRequest('no-such'))
+        reply = await self.make_caller('trainers').chat(ChatRequest('no-such'))
         self.assert_refused(reply, Reason.unknown_template)
 
     async def test_a_template_of_another_workspace_is_refused(self) -> None:
-        reply = await self.caller('turnstiles').chat(ANSWER)
+        reply = await self.make_caller('turnstiles').chat(ANSWER_REQUEST)
         self.assert_refused(reply, Reason.unknown_template)
 
     async def test_a_wrong_key_is_refused(self) -> None:
-        caller = self.caller('trainers', key='trainers.wrong')
-        self.assert_refused(await caller.chat(ANSWER), Reason.wrong_key)
+        caller = self.make_caller('trainers', key='trainers.wrong')
+        self.assert_refused(await caller.chat(ANSWER_REQUEST), Reason.wrong_key)
 
     async def test_a_body_over_the_limit_is_refused(self) -> None:
-        reply = await self.caller('trainers').post(
+        reply = await self.make_caller('trainers').post(
             '/v1/chat/completions', b' ' * 9_000_000
         )
         self.assert_refused(reply, Reason.body_too_large)
 
-    async def test_a_past_deadline_is_refused(self) -> None:
-        caller = self.caller('trainers')
-        reply = await caller.chat(ANSWER, x_deadline_ms='-5')
+    async def test_a_negative_deadline_is_refused(self) -> None:
+        caller = self.make_caller('trainers')
+        reply = await caller.chat(ANSWER_REQUEST, x_deadline_ms='-5')
         self.assert_refused(reply, Reason.deadline_past)
 
     async def test_a_deadline_that_is_no_number_is_refused(self) -> None:
-        caller = self.caller('trainers')
-        reply = await caller.chat(ANSWER, x_deadline_ms='soon')
+        caller = self.make_caller('trainers')
+        reply = await caller.chat(ANSWER_REQUEST, x_deadline_ms='soon')
         self.assert_refused(reply, Reason.bad_request)
 
-    async def test_unrepeatable_work_needs_a_key(self) -> None:
-        reply = await self.caller('renewals').chat(DRAFT)
+    async def test_work_that_is_not_idempotent_needs_a_key(self) -> None:
+        reply = await self.make_caller('renewals').chat(DRAFT_REQUEST)
         self.assert_refused(reply, Reason.key_required)
 
     async def test_a_draining_entry_refuses_new_work(self) -> None:
         self.fleet.entries[0].components.is_draining = True
-        reply = await self.caller('trainers').chat(ANSWER)
+        reply = await self.make_caller('trainers').chat(ANSWER_REQUEST)
         self.assert_refused(reply, Reason.draining)
         self.assertEqual(reply.retry_after, '1')
 
-    async def test_one_key_runs_once_through_two_entries(self) -> None:
+    async def test_a_key_sent_to_two_entries_runs_once(self) -> None:
         calls = [
-            self.caller('renewals', entry).chat(DRAFT, idempotency_key='k1')
+            self.make_caller('renewals', entry).chat(
+                DRAFT_REQUEST, idempotency_key='k1'
+            )
             for entry in (0, 1, 0, 1)
         ]
         replies = await asyncio.gather(*calls)
         answers = {reply.body for reply in replies if reply.is_ok}
-        # A retry that comes after the end gets the kept answer.
+        # A retry after completion receives the stored answer.
         self.assertEqual(len(answers), 1)
         for reply in replies:
             if not reply.is_ok:
                 self.assertEqual(reply.error['reason'], 'claim-taken')
                 self.assertEqual(reply.error['run'], 'maybe')
-        self.assertEqual(self.runs(), 1)
+        self.assertEqual(self.count_runs(), 1)
 
-    async def test_a_lost_claim_answer_still_runs_once(self) -> None:
+    async def test_a_claim_with_a_lost_reply_runs_once(self) -> None:
         self.fleet.platform.platform.faults = Faults(lose_answers=1)
-        reply = await self.caller('renewals').chat(DRAFT, idempotency_key='k')
-        check_chat(DRAFT, reply)
-        self.assertEqual(self.runs(), 1)
+        reply = await self.make_caller('renewals').chat(
+            DRAFT_REQUEST, idempotency_key='k'
+        )
+        check_chat(DRAFT_REQUEST, reply)
+        self.assertEqual(self.count_runs(), 1)
 
-    async def test_a_store_that_is_down_means_not_run_in_time(self) -> None:
+    async def test_an_unavailable_claim_store_refuses_work(self) -> None:
         self.fleet.platform.platform.faults = Faults(down=True)
-        reply = await self.caller('renewals').chat(
-            DRAFT, idempotency_key='k', x_deadline_ms='1700'
+        reply = await self.make_caller('renewals').chat(
+            DRAFT_REQUEST, idempotency_key='k', x_deadline_ms='1700'
         )
         self.assert_refused(reply, Reason.claim_store_down)
 
-    async def test_a_short_engine_answer_is_an_error(self) -> None:
+    async def test_a_truncated_engine_answer_breaks_the_connection(
+        self,
+    ) -> None:
         for running in self.fleet.engines:
             running.engine.faults.short = 1
         chat = ChatRequest('trainer-answer', max_tokens=5)
-        # The connection breaks: no clean end, whatever the client checks.
+        # The aborted connection is an error in any client.
         with self.assertRaises(CALL_ERRORS):
-            await self.caller('trainers').chat(chat)
+            await self.make_caller('trainers').chat(chat)
 
-    async def test_another_requests_answer_is_refused(self) -> None:
+    async def test_an_answer_to_another_request_is_refused(self) -> None:
         for running in self.fleet.engines:
             running.engine.faults.crossed = 1
-        reply = await self.caller('trainers').chat(ANSWER)
+        reply = await self.make_caller('trainers').chat(ANSWER_REQUEST)
         self.assertEqual(reply.error['reason'], 'wrong-answer')
         self.assertEqual(reply.error['run'], 'maybe')
 
-    async def test_a_failing_engine_is_a_typed_error(self) -> None:
+    async def test_a_failing_engine_is_reported_as_engine_failed(self) -> None:
         for running in self.fleet.engines:
             running.engine.faults.failing = 1
-        reply = await self.caller('trainers').chat(ANSWER)
+        reply = await self.make_caller('trainers').chat(ANSWER_REQUEST)
         self.assertEqual(reply.error['reason'], 'engine-failed')
         self.assertEqual(reply.error['run'], 'maybe')
 
-    async def test_a_services_own_error_is_its_answer(self) -> None:
+    async def test_an_error_of_a_service_is_forwarded(self) -> None:
         for running in self.fleet.engines:
             running.engine.faults.failing = 1
-        caller = self.caller('turnstiles')
+        caller = self.make_caller('turnstiles')
         reply = await caller.post('/services/pass-check/gate/7', b'')
         self.assertEqual(reply.status, 500)
         self.assertEqual(json.loads(reply.body)['error'], 'failing')
         outcomes = counts_by_labels(self.components.metrics.requests)
         self.assertEqual(outcomes, {'1/failed': 1})
 
-    async def test_a_caller_that_leaves_stops_its_run(self) -> None:
+    async def test_a_disconnect_of_the_caller_cancels_the_run(self) -> None:
         chat = ChatRequest('trainer-answer', max_tokens=2000)
         host, _, port = self.components.settings.listen.rpartition(':')
         _, writer = await asyncio.open_connection(host, int(port))
@@ -201,9 +209,9 @@
         while self.components.dispatcher.open_tickets:
             await asyncio.sleep(0.01)
 
-    async def test_pages_for_operators(self) -> None:
+    async def test_operator_pages_are_served(self) -> None:
         url = self.fleet.entries[0].url
-        for path, word in (
+        for path, expected in (
             ('/healthz', 'ok'),
             ('/readyz', 'ready'),
             ('/metrics', 'seampond_generation'),
@@ -211,4 +219,4 @@
         ):
             response = await self.client.get(f'{url}{path}')
             text: Any = await response.text()
-            self.assertIn(word, text)
+            self.assertIn(expected, text)
--- a/seampond/callers/work_builders.py
+++ b/seampond/callers/work_builders.py
@@ -1,4 +1,4 @@
-"""Make the work of an admitted request: deadline, claim key, rate."""
+"""Build the work of an admitted request and check its rate limit."""
 
 import hashlib
 from dataclasses import dataclass
@@ -17,28 +17,28 @@
 from seampond.requests import Reason, RefusedError, RunStatus, Work
 from seampond.templates import Template
 
-KEY_HEADER = 'idempotency-key'
+IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 DEADLINE_HEADER = 'x-deadline-ms'
 REQUEST_ID_HEADER = 'x-request-id'
 MAX_DEADLINE_MS = 3_600_000
 _PREFIX_CHARACTERS = 2048
 _MIN_PREFIX_CHARACTERS = 1024
 _MAX_KEY_CHARACTERS = 255
-_PASSED_HEADERS = ('content-type', 'accept', KEY_HEADER)
-_PATH_SAFE = "/:@!$&'()*+,;=~"
+_FORWARDED_HEADERS = ('content-type', 'accept', IDEMPOTENCY_KEY_HEADER)
+_SAFE_PATH_CHARACTERS = "/:@!$&'()*+,;=~"
 _DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What goes to the backend server; `prompt` only for a model."""
+    """What is sent to the backend server; `prompt` is empty for services."""
 
     path: str
     body: bytes
     prompt: str = ''
 
 
-def _deadline(
+def _parse_deadline_ms(
     context: AdmissionContext, request: Request, template: Template
 ) -> int:
     text = request.headers.get(DEADLINE_HEADER)
@@ -48,17 +48,17 @@
         raise make_refusal(
             Reason.bad_request, f'{DEADLINE_HEADER}: not a number'
         )
-    left_ms = int(text)
-    if left_ms <= 0:
+    remaining_ms = int(text)
+    if remaining_ms <= 0:
         raise make_refusal(Reason.deadline_past)
-    return context.clock.now() + min(left_ms, MAX_DEADLINE_MS)
+    return context.clock.now() + min(remaining_ms, MAX_DEADLINE_MS)
 
 
-def _claim_key(request: Request, admission: Admission) -> str:
+def _make_claim_key(request: Request, admission: Admission) -> str:
     template = admission.template
     if template.repeatable:
         return ''
-    key = request.headers.get(KEY_HEADER, '')
+    key = request.headers.get(IDEMPOTENCY_KEY_HEADER, '')
     if not key or len(key) > _MAX_KEY_CHARACTERS:
         raise make_refusal(Reason.key_required)
     digest = hashlib.blake2b(
@@ -67,7 +67,7 @@
     return '/'.join((admission.workspace.name, template.name, digest))
 
 
-def _check_rate(
+def _check_rate_limit(
     context: AdmissionContext, admission: Admission, tokens: int
 ) -> None:
     wait_ms = context.limiter.admit(
@@ -86,7 +86,7 @@
         )
 
 
-def _prefix(workspace: str, text: str) -> str:
+def _hash_prefix(workspace: str, text: str) -> str:
     if len(text) < _MIN_PREFIX_CHARACTERS:
         return ''
     start = text[:_PREFIX_CHARACTERS]
@@ -94,23 +94,23 @@
     return hashlib.blake2b(head.encode(), digest_size=_DIGEST_BYTES).hexdigest()
 
 
-def _headers(request: Request, request_id: str) -> tuple[Header, ...]:
-    kept = {
+def _select_headers(request: Request, request_id: str) -> tuple[Header, ...]:
+    forwarded = {
         name: request.headers[name]
-        for name in _PASSED_HEADERS
+        for name in _FORWARDED_HEADERS
         if name in request.headers
     }
-    kept[REQUEST_ID_HEADER] = request_id
-    return tuple(Header(name, text) for name, text in kept.items())
+    forwarded[REQUEST_ID_HEADER] = request_id
+    return tuple(Header(name, text) for name, text in forwarded.items())
 
 
-def _make_work(
+def _build_work(
     context: AdmissionContext,
     request: Request,
     admission: Admission,
     payload: Payload,
 ) -> Work:
-    """Check deadline, idempotency key and rate, in this order."""
+    """Build the work; check deadline, idempotency key, rate in this order."""
     template = admission.template
     request_id: str = request.state.request_id
     tokens = -(-len(payload.prompt) // ESTIMATED_CHARACTERS_PER_TOKEN)
@@ -121,17 +121,17 @@
         pool=template.pool,
         tier=admission.parameters.tier,
         arrived_ms=context.clock.now(),
-        deadline_ms=_deadline(context, request, template),
+        deadline_ms=_parse_deadline_ms(context, request, template),
         method=request.method,
         path=payload.path,
         body=payload.body,
-        headers=_headers(request, request_id),
+        headers=_select_headers(request, request_id),
         prompt_tokens=tokens,
-        prefix=_prefix(admission.workspace.name, payload.prompt),
-        claim_key=_claim_key(request, admission),
+        prefix=_hash_prefix(admission.workspace.name, payload.prompt),
+        claim_key=_make_claim_key(request, admission),
         may_wait=admission.parameters.may_wait,
     )
-    _check_rate(context, admission, tokens)
+    _check_rate_limit(context, admission, tokens)
     return work
 
 
@@ -141,7 +141,7 @@
     admission: Admission,
     chat: ChatRequest,
 ) -> Work:
-    """Make the work of a chat completion; counts against the rate."""
+    """Build the work of a chat completion and count it for the rate limit."""
     template = admission.template
     forwarded = chat.model_copy(
         update={
@@ -151,7 +151,7 @@
     )
     body = forwarded.model_dump_json(exclude_unset=True).encode()
     payload = Payload(CHAT_PATH, body, chat.prompt_text)
-    return _make_work(context, request, admission, payload)
+    return _build_work(context, request, admission, payload)
 
 
 def make_service_work(
@@ -160,8 +160,8 @@
     admission: Admission,
     body: bytes,
 ) -> Work:
-    """Make the work of a call to a plain service."""
-    path = quote(request.path_params['path'], safe=_PATH_SAFE)
+    """Build the work of a service call and count it for the rate limit."""
+    path = quote(request.path_params['path'], safe=_SAFE_PATH_CHARACTERS)
     query = request.url.query
     target = f'/{path}?{query}' if query else f'/{path}'
-    return _make_work(context, request, admission, Payload(target, body))
+    return _build_work(context, request, admission, Payload(target, body))
