--- a/seampond/backing/http.py
+++ b/seampond/backing/http_client.py
@@ -35,18 +35,18 @@
 
     status: int
     content: Any
-    tag: str = ''
+    etag: str = ''
 
 
 @dataclass(frozen=True)
-class Caller:
+class ServiceClient:
     """An HTTP client for one service of the platform."""
 
     url: str
     client: aiosonic.HTTPClient
     timeout_ms: int
 
-    async def ask(
+    async def read(
         self, path: str, *, method: str = 'GET', **kwargs: Any
     ) -> Reply:
         """Send a request that changes nothing.
@@ -67,7 +67,7 @@
             )
         return reply
 
-    async def change(self, path: str, *, method: str, **kwargs: Any) -> Reply:
+    async def write(self, path: str, *, method: str, **kwargs: Any) -> Reply:
         """Send a request that changes something.
 
         Raises
@@ -104,10 +104,10 @@
             ),
             **kwargs,
         )
-        tag = response.headers.get('etag', '')
+        etag = response.headers.get('etag', '')
         if response.status_code in _WITHOUT_BODY:
-            return Reply(response.status_code, None, tag)
-        return Reply(response.status_code, await response.json(), tag)
+            return Reply(response.status_code, None, etag)
+        return Reply(response.status_code, await response.json(), etag)
 
     def _failure(
         self, kind: type[PlatformError], path: str, error: Exception
@@ -119,7 +119,7 @@
         )
 
 
-class Client(aiosonic.HTTPClient):
+class TimeoutSafeClient(aiosonic.HTTPClient):
     """An HTTP client that never gives a late answer to another call.
 
     Explanation
@@ -157,17 +157,23 @@
             await connector.cleanup()
 
 
-def make_client(connections: int, *, reuses: bool = True) -> Client:
+def make_client(
+    connections: int, *, reuse_connections: bool = True
+) -> TimeoutSafeClient:
     """Give an HTTP client; its owner closes it."""
-    pool = PoolConfig(size=connections, max_conn_requests=None if reuses else 0)
-    return Client(lambda: TCPConnector(pool_configs={':default': pool}))
+    pool = PoolConfig(
+        size=connections, max_conn_requests=None if reuse_connections else 0
+    )
+    return TimeoutSafeClient(
+        lambda: TCPConnector(pool_configs={':default': pool})
+    )
 
 
 @asynccontextmanager
 async def open_client(
     connections: int = PLATFORM_CONNECTIONS,
     *,
-    reuses: bool = True,
+    reuse_connections: bool = True,
 ) -> AsyncIterator[aiosonic.HTTPClient]:
     """Give an HTTP client that is closed at the end.
 
@@ -175,11 +181,11 @@
     ----------
     connections : int
         How many calls may run at once, over all hosts; more wait.
-    reuses : bool
+    reuse_connections : bool
         Whether a connection serves more than one call.
 
     """
-    client = make_client(connections, reuses=reuses)
+    client = make_client(connections, reuse_connections=reuse_connections)
     try:
         yield client
     finally:
--- a/seampond/backing/http_tables.py
+++ b/seampond/backing/http_tables.py
@@ -5,7 +5,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from seampond.backing.http import Caller, Reply
+from seampond.backing.http_client import Reply, ServiceClient
 from seampond.backing.tables import Check, Row, Tables, Write
 from seampond.errors import ConflictError, PlatformError
 
@@ -14,12 +14,12 @@
     return Row(table, content['key'], content['version'], content['content'])
 
 
-def _expect_ok(reply: Reply, path: str, caller: Caller) -> None:
+def _expect_ok(reply: Reply, path: str, service: ServiceClient) -> None:
     if reply.status != HTTPStatus.OK:
         raise PlatformError(
             f'answered {reply.status}: {reply.content}',
             step=path,
-            peer=caller.url,
+            peer=service.url,
         )
 
 
@@ -38,12 +38,12 @@
     }
 
 
-def http_tables(caller: Caller) -> Tables:
-    """Give the table service behind `caller`.
+def make_http_tables(service: ServiceClient) -> Tables:
+    """Give the table service behind `service`.
 
     Parameters
     ----------
-    caller : Caller
+    service : ServiceClient
         The HTTP client for the service.
 
     Returns
@@ -55,33 +55,33 @@
 
     async def read(table: str, key: str) -> Row | None:
         path = f'/tables/{table}/rows/{quote(key, safe="")}'
-        reply = await caller.ask(path)
+        reply = await service.read(path)
         if reply.status == HTTPStatus.NOT_FOUND:
             return None
-        _expect_ok(reply, path, caller)
+        _expect_ok(reply, path, service)
         return _row(table, reply.content)
 
     async def scan(table: str, start: str, end: str, limit: int) -> list[Row]:
         path = f'/tables/{table}/rows'
-        reply = await caller.ask(
+        reply = await service.read(
             path, params={'start': start, 'end': end, 'limit': str(limit)}
         )
-        _expect_ok(reply, path, caller)
+        _expect_ok(reply, path, service)
         return [_row(table, content) for content in reply.content]
 
     async def transact(
         checks: Sequence[Check], writes: Sequence[Write]
     ) -> None:
         path = '/transactions'
-        reply = await caller.change(
+        reply = await service.write(
             path, method='POST', json=_transaction(checks, writes)
         )
         if reply.status == HTTPStatus.CONFLICT:
             raise ConflictError(
                 f'row {reply.content["key"]} has changed',
                 step=path,
-                peer=caller.url,
+                peer=service.url,
             )
-        _expect_ok(reply, path, caller)
+        _expect_ok(reply, path, service)
 
     return Tables(read, scan, transact)
--- a/seampond/backing/objects.py
+++ b/seampond/backing/objects.py
@@ -6,7 +6,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from seampond.backing.http import Caller
+from seampond.backing.http_client import ServiceClient
 from seampond.errors import PlatformError
 
 GetObject = Callable[[str], Awaitable[Any | None]]
@@ -21,8 +21,8 @@
     put: PutObject
 
 
-def http_objects(caller: Caller) -> Objects:
-    """Give the object store behind `caller`.
+def make_http_objects(service: ServiceClient) -> Objects:
+    """Give the object store behind `service`.
 
     Returns
     -------
@@ -34,17 +34,17 @@
 
     async def get(key: str) -> Any | None:
         path = f'/objects/{quote(key, safe="")}'
-        reply = await caller.ask(path)
+        reply = await service.read(path)
         if reply.status == HTTPStatus.NOT_FOUND:
             return None
         return reply.content
 
     async def put(key: str, content: Any) -> None:
         path = f'/objects/{quote(key, safe="")}'
-        reply = await caller.change(path, method='PUT', json=content)
+        reply = await service.write(path, method='PUT', json=content)
         if reply.status != HTTPStatus.OK:
             raise PlatformError(
-                f'answered {reply.status}', step=path, peer=caller.url
+                f'answered {reply.status}', step=path, peer=service.url
             )
 
     return Objects(get, put)
--- a/seampond/backing/standin/app.py
+++ b/seampond/backing/standin/app.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class ListVersion:
+class VmListVersion:
     """The VM list as it was from `since_ms` on."""
 
     since_ms: int
@@ -53,8 +53,8 @@
             vm.name: VmRow.model_validate(vm.model_dump())
             for vm in settings.vms
         }
-        self._versions = deque([ListVersion(0, vms)])
-        self.started = secrets.token_hex(_TAG_BYTES)
+        self._versions = deque([VmListVersion(0, vms)])
+        self.start_id = secrets.token_hex(_TAG_BYTES)
         self.tables = MemoryTables()
         self.objects: dict[str, Any] = {}
         self.faults = Faults(
@@ -62,7 +62,7 @@
         )
 
     @property
-    def listed_vms(self) -> ListVersion:
+    def listed_vms(self) -> VmListVersion:
         """The list as callers see it: late by the lag."""
         horizon = self._clock.now() - self.faults.list_lag_ms
         while len(self._versions) > 1 and self._versions[1].since_ms <= horizon:
@@ -75,9 +75,9 @@
         vms.pop(name, None)
         if row is not None:
             vms[name] = row
-        self._versions.append(ListVersion(self._clock.now(), vms))
+        self._versions.append(VmListVersion(self._clock.now(), vms))
 
-    def faulty(self, endpoint: Endpoint) -> Endpoint:
+    def inject_faults(self, endpoint: Endpoint) -> Endpoint:
         """Wrap an endpoint in the faults in force."""
 
         async def wrapped(request: Request) -> Response:
@@ -128,9 +128,11 @@
         return JSONResponse({})
 
     return [
-        Route('/tables/{table}/rows/{key:path}', platform.faulty(read)),
-        Route('/tables/{table}/rows', platform.faulty(scan)),
-        Route('/transactions', platform.faulty(transact), methods=['POST']),
+        Route('/tables/{table}/rows/{key:path}', platform.inject_faults(read)),
+        Route('/tables/{table}/rows', platform.inject_faults(scan)),
+        Route(
+            '/transactions', platform.inject_faults(transact), methods=['POST']
+        ),
     ]
 
 
@@ -146,9 +148,11 @@
         return JSONResponse({})
 
     return [
-        Route('/objects/{key:path}', platform.faulty(get_object)),
+        Route('/objects/{key:path}', platform.inject_faults(get_object)),
         Route(
-            '/objects/{key:path}', platform.faulty(put_object), methods=['PUT']
+            '/objects/{key:path}',
+            platform.inject_faults(put_object),
+            methods=['PUT'],
         ),
     ]
 
@@ -156,11 +160,11 @@
 def _vm_routes(platform: Platform) -> list[Route]:
     async def list_vms(request: Request) -> Response:
         listed = platform.listed_vms
-        tag = f'"{platform.started}-{listed.since_ms}"'
-        if request.headers.get('if-none-match') == tag:
+        etag = f'"{platform.start_id}-{listed.since_ms}"'
+        if request.headers.get('if-none-match') == etag:
             return Response(status_code=HTTPStatus.NOT_MODIFIED)
         rows = [row.model_dump() for row in listed.vms.values()]
-        return JSONResponse(rows, headers={'etag': tag})
+        return JSONResponse(rows, headers={'etag': etag})
 
     async def put_vm(request: Request) -> Response:
         row = VmRow.model_validate_json(await request.body())
@@ -172,7 +176,7 @@
         return JSONResponse({})
 
     return [
-        Route('/vms', platform.faulty(list_vms)),
+        Route('/vms', platform.inject_faults(list_vms)),
         Route('/vms/{name}', put_vm, methods=['PUT']),
         Route('/vms/{name}', delete_vm, methods=['DELETE']),
     ]
@@ -200,7 +204,7 @@
     )
 
 
-def platform_app(platform: Platform) -> Starlette:
+def make_platform_app(platform: Platform) -> Starlette:
     """Give the web application of the stand-ins.
 
     Explanation
--- a/seampond/backing/standin/memory.py
+++ b/seampond/backing/standin/memory.py
@@ -51,7 +51,7 @@
         for write in writes:
             self._write(write)
 
-    def as_port(self) -> Tables:
+    def as_tables(self) -> Tables:
         """Give these rows as the port that the program uses."""
 
         async def read(table: str, key: str) -> Row | None:
--- a/seampond/backing/standin/models.py
+++ b/seampond/backing/standin/models.py
@@ -5,13 +5,13 @@
 from pydantic import BaseModel, ConfigDict
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """Base: unknown fields are errors."""
 
     model_config = ConfigDict(extra='forbid')
 
 
-class CheckBody(Strict):
+class CheckBody(StrictModel):
     """A condition of a transaction."""
 
     table: str
@@ -19,7 +19,7 @@
     version: int
 
 
-class WriteBody(Strict):
+class WriteBody(StrictModel):
     """A write of a transaction; no content deletes."""
 
     table: str
@@ -27,14 +27,14 @@
     content: dict[str, Any] | None = None
 
 
-class Transaction(Strict):
+class Transaction(StrictModel):
     """All writes if all checks hold."""
 
     checks: tuple[CheckBody, ...]
     writes: tuple[WriteBody, ...]
 
 
-class VmRow(Strict):
+class VmRow(StrictModel):
     """One VM in the list."""
 
     name: str
@@ -45,7 +45,7 @@
     state: str = 'live'
 
 
-class Faults(Strict):
+class Faults(StrictModel):
     """The faults in force."""
 
     down: bool = False
--- a/seampond/backing/tests/test_client.py
+++ b/seampond/backing/tests/test_client.py
@@ -10,7 +10,7 @@
 from starlette.responses import PlainTextResponse, Response
 from starlette.routing import Route
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.web import serve_http
 
 CALLS = 64
--- a/seampond/backing/tests/test_standin.py
+++ b/seampond/backing/tests/test_standin.py
@@ -3,11 +3,11 @@
 import unittest
 
 from seampond.backing import Check, Tables, Write
-from seampond.backing.http import Caller, open_client
-from seampond.backing.http_tables import http_tables
-from seampond.backing.objects import http_objects
+from seampond.backing.http_client import ServiceClient, open_client
+from seampond.backing.http_tables import make_http_tables
+from seampond.backing.objects import make_http_objects
 from seampond.backing.standin.models import VmRow
-from seampond.backing.vms import http_vms
+from seampond.backing.vms import make_vm_lister
 from seampond.clock import Clock
 from seampond.daemons import run_platform
 from seampond.errors import ConflictError, PlatformError, UnknownOutcomeError
@@ -21,12 +21,12 @@
         client = open_client()
         platform = await self.enterAsyncContext(running)
         self.platform = platform.platform
-        self.caller = Caller(
+        self.service = ServiceClient(
             f'http://{platform.web.address}',
             await self.enterAsyncContext(client),
             timeout_ms=300,
         )
-        self.tables: Tables = http_tables(self.caller)
+        self.tables: Tables = make_http_tables(self.service)
 
     async def test_a_key_with_slashes_is_found_again(self) -> None:
         await self.tables.transact([], [Write('claims', 'a/b/c', {'n': 1})])
@@ -64,7 +64,7 @@
         self.platform.faults.list_lag_ms = 3_600_000
         row = VmRow(name='b', hall='h', role='backend', address='127.0.0.1:1')
         self.platform.set_vm('b', row)
-        list_vms = http_vms(self.caller)
+        list_vms = make_vm_lister(self.service)
         self.assertEqual(await list_vms(), ())
         self.platform.faults.list_lag_ms = 0
         self.assertEqual([vm.name for vm in await list_vms()], ['b'])
@@ -74,7 +74,7 @@
             name = f'b{number}'
             row = VmRow(name=name, hall='h', role='backend', address='a:1')
             self.platform.set_vm(name, row)
-        list_vms = http_vms(self.caller)
+        list_vms = make_vm_lister(self.service)
         first = await list_vms()
         self.assertEqual(len(first), 40)
         self.assertIs(await list_vms(), first)
@@ -82,7 +82,7 @@
         self.assertEqual(len(await list_vms()), 39)
 
     async def test_objects_come_back(self) -> None:
-        objects = http_objects(self.caller)
+        objects = make_http_objects(self.service)
         await objects.put('a/b', [1])
         self.assertEqual(await objects.get('a/b'), [1])
         self.assertIsNone(await objects.get('c'))
--- a/seampond/backing/vms.py
+++ b/seampond/backing/vms.py
@@ -5,13 +5,13 @@
 from http import HTTPStatus
 from typing import Any
 
-from seampond.backing.http import Caller
+from seampond.backing.http_client import ServiceClient
 from seampond.errors import PlatformError
 
 ENTRY_ROLE = 'entry'
 BACKEND_ROLE = 'backend'
-LIVE = 'live'
-LEAVING = 'leaving'
+LIVE_STATE = 'live'
+LEAVING_STATE = 'leaving'
 _PATH = '/vms'
 
 
@@ -24,7 +24,7 @@
     role: str
     address: str
     pool: str
-    state: str = LIVE
+    state: str = LIVE_STATE
 
 
 ListVms = Callable[[], Awaitable[tuple[Vm, ...]]]
@@ -34,21 +34,21 @@
 class _LastList:
     """The last list read and the tag that the service gave it."""
 
-    tag: str = ''
+    etag: str = ''
     vms: tuple[Vm, ...] = ()
 
 
-def _parse(content: Any, caller: Caller) -> tuple[Vm, ...]:
+def _parse(content: Any, service: ServiceClient) -> tuple[Vm, ...]:
     try:
         return tuple(Vm(**row) for row in content)
     except TypeError as error:
         raise PlatformError(
-            f'is not a VM list: {error}', step=_PATH, peer=caller.url
+            f'is not a VM list: {error}', step=_PATH, peer=service.url
         ) from error
 
 
-def http_vms(caller: Caller) -> ListVms:
-    """Give the VM list behind `caller`; it raises `PlatformError`.
+def make_vm_lister(service: ServiceClient) -> ListVms:
+    """Give the VM list behind `service`; it raises `PlatformError`.
 
     Explanation
     -----------
@@ -64,12 +64,12 @@
 
     async def list_vms() -> tuple[Vm, ...]:
         headers = {'accept-encoding': 'gzip'}
-        if last.tag:
-            headers['if-none-match'] = last.tag
-        reply = await caller.ask(_PATH, headers=headers)
+        if last.etag:
+            headers['if-none-match'] = last.etag
+        reply = await service.read(_PATH, headers=headers)
         if reply.status != HTTPStatus.NOT_MODIFIED:
-            last.vms = _parse(reply.content, caller)
-            last.tag = reply.tag
+            last.vms = _parse(reply.content, service)
+            last.etag = reply.etag
         return last.vms
 
     return list_vms
--- a/seampond/callers/tests/test_border.py
+++ b/seampond/callers/tests/test_border.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.backing.standin.models import Faults
 from seampond.demo.fleet import Fleet
 from seampond.metrics.common import counts_by_labels
--- a/seampond/claims/tests/test_answers.py
+++ b/seampond/claims/tests/test_answers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.backing.standin.models import Faults
 from seampond.clock import Clock
 from seampond.testing.caller import Caller, ChatRequest, Reply
--- a/seampond/claims/tests/test_claims.py
+++ b/seampond/claims/tests/test_claims.py
@@ -22,7 +22,7 @@
 
 def losing_answers(memory: MemoryTables, count: int) -> Tables:
     """Lose the answers of the first `count` writes."""
-    port = memory.as_port()
+    port = memory.as_tables()
     left = [count]
 
     async def transact(
@@ -44,7 +44,7 @@
     ) -> None:
         raise PlatformError('down', step='transact')
 
-    return replace(memory.as_port(), transact=transact)
+    return replace(memory.as_tables(), transact=transact)
 
 
 class ClaimsTest(unittest.IsolatedAsyncioTestCase):
@@ -55,7 +55,7 @@
     def claims(
         self, tables: Tables | None = None, owner: str = 'a/1'
     ) -> Claims:
-        return Claims(tables or self.memory.as_port(), self.clock, owner)
+        return Claims(tables or self.memory.as_tables(), self.clock, owner)
 
     async def test_second_claim_is_refused_as_taken(self) -> None:
         await self.claims().make(KEY, 'r1', 1000)
@@ -91,7 +91,7 @@
             await self.claims(owner='b/1').make(KEY, 'r2', 2000)
 
     async def test_conflict_without_row_does_not_loop(self) -> None:
-        port = self.memory.as_port()
+        port = self.memory.as_tables()
         reads = []
 
         async def read(table: str, key: str) -> None:
--- a/seampond/daemons/agent.py
+++ b/seampond/daemons/agent.py
@@ -8,9 +8,9 @@
 
 from starlette.applications import Starlette
 
-from seampond.backing.http import Caller, open_client
-from seampond.backing.http_tables import http_tables
-from seampond.backing.objects import http_objects
+from seampond.backing.http_client import ServiceClient, open_client
+from seampond.backing.http_tables import make_http_tables
+from seampond.backing.objects import make_http_objects
 from seampond.claims import Claims
 from seampond.clock import Clock
 from seampond.engines import Agent, open_backend
@@ -115,11 +115,11 @@
     platform, backend = settings.platform, settings.backend
     async with AsyncExitStack() as stack:
         client = await stack.enter_async_context(open_client())
-        tables = http_tables(
-            Caller(platform.tables, client, platform.timeout_ms)
+        tables = make_http_tables(
+            ServiceClient(platform.tables, client, platform.timeout_ms)
         )
-        objects = http_objects(
-            Caller(platform.objects, client, platform.timeout_ms)
+        objects = make_http_objects(
+            ServiceClient(platform.objects, client, platform.timeout_ms)
         )
         claims = Claims(tables, clock, f'{settings.name}/{incarnation}')
         # A separate client: claims do not wait for connections of streams.
--- a/seampond/daemons/entry.py
+++ b/seampond/daemons/entry.py
@@ -7,9 +7,9 @@
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
 
-from seampond.backing.http import Caller, open_client
-from seampond.backing.http_tables import http_tables
-from seampond.backing.vms import http_vms
+from seampond.backing.http_client import ServiceClient, open_client
+from seampond.backing.http_tables import make_http_tables
+from seampond.backing.vms import make_vm_lister
 from seampond.callers.admission import AdmissionContext
 from seampond.callers.app import ReadinessChecks, make_caller_app
 from seampond.callers.responses import ResponseContext
@@ -208,10 +208,12 @@
     )
     async with AsyncExitStack() as stack:
         client = await stack.enter_async_context(open_client())
-        tables = http_tables(
-            Caller(platform.tables, client, platform.timeout_ms)
+        tables = make_http_tables(
+            ServiceClient(platform.tables, client, platform.timeout_ms)
+        )
+        list_vms = make_vm_lister(
+            ServiceClient(platform.vms, client, platform.timeout_ms)
         )
-        list_vms = http_vms(Caller(platform.vms, client, platform.timeout_ms))
         configuration_updates = follow_configuration(
             tables, components.holder, clock, settings.config_poll_ms
         )
--- a/seampond/daemons/standins.py
+++ b/seampond/daemons/standins.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from seampond.backing.standin.app import Platform, platform_app
+from seampond.backing.standin.app import Platform, make_platform_app
 from seampond.clock import Clock
 from seampond.settings.models import (
     EngineStandInSettings,
@@ -40,8 +40,8 @@
     platform = Platform(settings, clock)
     if settings.seed_file:
         seed = read_seed(Path(settings.seed_file))
-        await apply_seed(platform.tables.as_port(), clock, seed)
-    async with serve_http(platform_app(platform), settings.listen) as web:
+        await apply_seed(platform.tables.as_tables(), clock, seed)
+    async with serve_http(make_platform_app(platform), settings.listen) as web:
         yield RunningPlatform(platform, web)
 
 
--- a/seampond/daemons/tests/test_daemons.py
+++ b/seampond/daemons/tests/test_daemons.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.demo.fleet import Fleet
 from seampond.errors import PromiseError
 from seampond.metrics.common import counts_by_labels
--- a/seampond/daemons/tests/test_processes.py
+++ b/seampond/daemons/tests/test_processes.py
@@ -6,7 +6,7 @@
 from http import HTTPStatus
 from pathlib import Path
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.testing.caller import Caller, ChatRequest, Reply, check_chat
 from seampond.testing.processes import (
     Processes,
--- a/seampond/demo/fleet.py
+++ b/seampond/demo/fleet.py
@@ -144,7 +144,7 @@
 async def _create_keys(
     platform: RunningPlatform, clock: Clock
 ) -> dict[str, str]:
-    tables = platform.platform.tables.as_port()
+    tables = platform.platform.tables.as_tables()
     keys = {}
     for row in await tables.scan(WORKSPACES, '', '~', 1000):
         created = make_key(row.key)
--- a/seampond/demo/load_generator.py
+++ b/seampond/demo/load_generator.py
@@ -6,7 +6,7 @@
 
 import aiosonic
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.demo.fleet import Fleet
 from seampond.demo.traffic import Call
--- a/seampond/engines/call.py
+++ b/seampond/engines/call.py
@@ -15,7 +15,7 @@
 )
 from aiosonic.timeout import Timeouts
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.clock import MS_PER_SECOND
 from seampond.engines.runs import Run, Usage
 from seampond.errors import EngineError
@@ -181,7 +181,7 @@
     """
     async with (
         open_client(connections) as reusing,
-        open_client(connections, reuses=False) as fresh,
+        open_client(connections, reuse_connections=False) as fresh,
     ):
         yield BackendCall(url, kind, timeout_ms, reusing, fresh)
 
--- a/seampond/engines/tests/test_agent.py
+++ b/seampond/engines/tests/test_agent.py
@@ -51,7 +51,7 @@
         settings = build_agent_settings(**backend)
         metrics = AgentMetrics()
         promises = build_promises()
-        claims = Claims(self.memory.as_port(), self.clock, 'backend-1/1')
+        claims = Claims(self.memory.as_tables(), self.clock, 'backend-1/1')
         self.runner = Runner(
             settings,
             self.clock,
--- a/seampond/gateway/tests/test_gateway.py
+++ b/seampond/gateway/tests/test_gateway.py
@@ -11,7 +11,7 @@
 import aiosonic
 import msgspec
 
-from seampond.backing.http import make_client
+from seampond.backing.http_client import make_client
 from seampond.clock import Clock
 from seampond.demo.fleet import free_ports
 from seampond.forwarding.admission import Admission
--- a/seampond/membership/follow.py
+++ b/seampond/membership/follow.py
@@ -9,8 +9,8 @@
 from seampond.backing.vms import (
     BACKEND_ROLE,
     ENTRY_ROLE,
-    LEAVING,
-    LIVE,
+    LEAVING_STATE,
+    LIVE_STATE,
     ListVms,
     Vm,
 )
@@ -97,7 +97,7 @@
     def _retire(self, peer: Peer) -> None:
         # A VM may be unlisted before its planned stop: requests there finish.
         if peer.granted and peer.link:
-            self._record_leaving(peer, replace(peer.vm, state=LEAVING))
+            self._record_leaving(peer, replace(peer.vm, state=LEAVING_STATE))
             return
         self._stop(peer)
 
@@ -107,7 +107,7 @@
         _logger.info('agent removed', extra={'agent': peer.name})
 
     def _record_leaving(self, peer: Peer, vm: Vm) -> None:
-        if vm.state == LEAVING and peer.state is PeerState.ready:
+        if vm.state == LEAVING_STATE and peer.state is PeerState.ready:
             peer.fire('said_leaving')
 
 
@@ -120,7 +120,9 @@
         _logger.debug('VM list not read', extra={'error': str(error)})
         return
     tasks.update(_choose_vms(vms, plan))
-    entries = sum(vm.role == ENTRY_ROLE and vm.state == LIVE for vm in vms)
+    entries = sum(
+        vm.role == ENTRY_ROLE and vm.state == LIVE_STATE for vm in vms
+    )
     members.live_entries = max(1, entries)
 
 
--- a/seampond/operators/edits.py
+++ b/seampond/operators/edits.py
@@ -7,8 +7,8 @@
 
 from pydantic import BaseModel, ValidationError
 
-from seampond.backing.http import Caller, open_client
-from seampond.backing.http_tables import http_tables
+from seampond.backing.http_client import ServiceClient, open_client
+from seampond.backing.http_tables import make_http_tables
 from seampond.backing.tables import Row, Tables
 from seampond.clock import Clock
 from seampond.errors import SettingsError
@@ -37,8 +37,8 @@
     """Open an HTTP client and yield an editor that uses it."""
     async with open_client() as client:
         platform = settings.platform
-        caller = Caller(platform.tables, client, platform.timeout_ms)
-        yield Editor(http_tables(caller), Clock(), settings.author)
+        caller = ServiceClient(platform.tables, client, platform.timeout_ms)
+        yield Editor(make_http_tables(caller), Clock(), settings.author)
 
 
 def parse_fields(arguments: Iterable[str]) -> dict[str, Any]:
--- a/seampond/operators/status.py
+++ b/seampond/operators/status.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from seampond.backing.http import Caller, open_client
-from seampond.backing.vms import ENTRY_ROLE, Vm, http_vms
+from seampond.backing.http_client import ServiceClient, open_client
+from seampond.backing.vms import ENTRY_ROLE, Vm, make_vm_lister
 from seampond.errors import PlatformError
 from seampond.operators.edits import Editor
 from seampond.settings.models import OperatorSettings
@@ -44,15 +44,19 @@
     async with open_client() as client:
 
         async def fetch_status(vm: Vm) -> dict[str, Any] | None:
-            caller = Caller(f'http://{vm.address}', client, platform.timeout_ms)
+            caller = ServiceClient(
+                f'http://{vm.address}', client, platform.timeout_ms
+            )
             try:
-                reply = await caller.ask('/status')
+                reply = await caller.read('/status')
             except PlatformError:
                 return None
             status: dict[str, Any] = reply.content
             return status
 
-        list_vms = http_vms(Caller(platform.vms, client, platform.timeout_ms))
+        list_vms = make_vm_lister(
+            ServiceClient(platform.vms, client, platform.timeout_ms)
+        )
         entries = [vm for vm in await list_vms() if vm.role == ENTRY_ROLE]
         statuses = await asyncio.gather(*map(fetch_status, entries))
     generation = await read_generation(editor.tables)
--- a/seampond/slopes/gateway_fleet.py
+++ b/seampond/slopes/gateway_fleet.py
@@ -11,7 +11,7 @@
 
 import aiosonic
 
-from seampond.backing.http import make_client
+from seampond.backing.http_client import make_client
 from seampond.clock import MS_PER_SECOND
 from seampond.demo.fleet import free_ports
 from seampond.platform.names import (
--- a/seampond/slopes/links.py
+++ b/seampond/slopes/links.py
@@ -7,8 +7,8 @@
 import resource
 import time
 
-from seampond.backing.http import Caller, open_client
-from seampond.backing.http_tables import http_tables
+from seampond.backing.http_client import ServiceClient, open_client
+from seampond.backing.http_tables import make_http_tables
 from seampond.backing.standin.models import VmRow
 from seampond.clock import Clock
 from seampond.daemons import run_platform
@@ -68,8 +68,8 @@
     async with run_platform(settings, Clock()) as running:
         async with open_client() as client:
             address = running.web.address
-            caller = Caller(f'http://{address}', client, 1000)
-            tables = http_tables(caller)
+            caller = ServiceClient(f'http://{address}', client, 1000)
+            tables = make_http_tables(caller)
             await read_changes(tables, Configuration(1))
             started = time.process_time()
             for _ in range(_POLL_COUNT):
--- a/seampond/slopes/roles.py
+++ b/seampond/slopes/roles.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from urllib.request import urlopen
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.slopes.processor import MICROSECONDS, Slope
 from seampond.testing.caller import Caller, ChatRequest, check_chat
 from seampond.testing.processes import Processes, run_processes
--- a/seampond/soak/__main__.py
+++ b/seampond/soak/__main__.py
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from seampond.backing.http import open_client
+from seampond.backing.http_client import open_client
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.demo.__main__ import EXAMPLES
 from seampond.demo.fleet import copy_with_free_ports, run_fleet
--- a/seampond/templates/tests/test_configuration.py
+++ b/seampond/templates/tests/test_configuration.py
@@ -29,7 +29,7 @@
 class EditTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.memory = MemoryTables()
-        self.tables = self.memory.as_port()
+        self.tables = self.memory.as_tables()
         self.clock = ManualClock()
 
     async def edit(
--- a/seampond/testing/crashing.py
+++ b/seampond/testing/crashing.py
@@ -10,7 +10,7 @@
 
 import aiosonic
 
-from seampond.backing.http import make_client
+from seampond.backing.http_client import make_client
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.platform.tests.rows import (
     HOST,
@@ -237,7 +237,9 @@
     crashes_on: Callable[[bytes], bool] = CRASHING_BODY.__eq__
     timeout_ms: int = 1500
     _client: aiosonic.HTTPClient = field(
-        default_factory=lambda: make_client(_CLIENT_CONNECTIONS, reuses=False)
+        default_factory=lambda: make_client(
+            _CLIENT_CONNECTIONS, reuse_connections=False
+        )
     )
     _ids: Any = field(default_factory=itertools.count)
 
--- a/seampond/testing/gateway_soak.py
+++ b/seampond/testing/gateway_soak.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from seampond.backing.http import make_client
+from seampond.backing.http_client import make_client
 from seampond.clock import MS_PER_SECOND, Clock
 from seampond.platform.tests.rows import (
     IDEMPOTENT,
@@ -200,7 +200,9 @@
     ):
         configuration = ConfigurationRow(kind=kind)
         put_configuration(store, configuration)
-        await wait_ready(gateways, make_client(GATEWAY_COUNT, reuses=False))
+        await wait_ready(
+            gateways, make_client(GATEWAY_COUNT, reuse_connections=False)
+        )
         context = SoakContext(
             gateways,
             fleet,
