--- a/seampond/slopes/gateway_profile.py
+++ b/seampond/slopes/gateway_profile.py
@@ -36,7 +36,7 @@
     ('make a heartbeat', 'components.py:make_heartbeat'),
     ('encode it', 'heartbeats.py:encode'),
     ('send datagrams', 'sendto'),
-    ('answers of the store', 'watch.py:_step'),
+    ('answers of the store', 'watch.py:_poll_once'),
     ('choose a server', 'scheduler.py:_find'),
     ('serve requests', 'app.py:_serve'),
     ('log lines', 'logging/__init__.py:_log'),
--- a/seampond/watches/watch.py
+++ b/seampond/watches/watch.py
@@ -133,7 +133,7 @@
         while True:
             await self._wait_for_turn()
             try:
-                is_fresh = await self._poll()
+                is_fresh = await self._poll_once()
                 self._is_failing = False
                 self._failures.record_success()
             except HistoryGoneError:
@@ -212,7 +212,7 @@
             return True
         return self._is_overloaded or self.is_follower()
 
-    async def _poll(self) -> bool:
+    async def _poll_once(self) -> bool:
         """Make one call to the feed; return True if its answer was applied."""
         self._feed_timeout = asyncio.timeout(None)
         since = self.freshness.version
