--- a/seampond/backing/__init__.py
+++ b/seampond/backing/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services as the project uses them: small ports."""
+"""Interfaces to the services of the platform."""
 
 from seampond.backing.tables import Check as Check
 from seampond.backing.tables import Row as Row
--- a/seampond/backing/http_client.py
+++ b/seampond/backing/http_client.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP to the platform, with each failure told apart."""
+"""JSON over HTTP to the platform, with an error type for each outcome."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -22,16 +22,16 @@
 from seampond.errors import PlatformError, UnknownOutcomeError
 
 PLATFORM_CONNECTIONS = 64
-_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-_LEFT_OPEN = (BaseTimeout, TimeoutError, asyncio.CancelledError)
-_OLD_MAX = 4
-_NO_TRANSPORT = (ConnectionRefusedError, ConnectTimeout)
-_FAILURES = (AiosonicError, HttpParsingError, OSError, EOFError, ValueError)
+_STATUSES_WITHOUT_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+_INTERRUPTIONS = (BaseTimeout, TimeoutError, asyncio.CancelledError)
+_MAX_RETIRED_CONNECTORS = 4
+_CONNECT_ERRORS = (ConnectionRefusedError, ConnectTimeout)
+_CALL_ERRORS = (AiosonicError, HttpParsingError, OSError, EOFError, ValueError)
 
 
 @dataclass(frozen=True)
 class Reply:
-    """The status and the decoded JSON body of an answer."""
+    """The status, decoded JSON body and entity tag of a response."""
 
     status: int
     content: Any
@@ -49,18 +49,18 @@
     async def read(
         self, path: str, *, method: str = 'GET', **kwargs: Any
     ) -> Reply:
-        """Send a request that changes nothing.
+        """Send a request that does not change the state of the service.
 
         Raises
         ------
         PlatformError
-            If no good answer came.
+            If the call fails or the service responds with an error 5xx.
 
         """
         try:
             reply = await self._send(path, method, kwargs)
-        except _FAILURES as error:
-            raise self._failure(PlatformError, path, error) from error
+        except _CALL_ERRORS as error:
+            raise self._make_error(PlatformError, path, error) from error
         if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             raise PlatformError(
                 f'answered {reply.status}', step=path, peer=self.url
@@ -68,24 +68,24 @@
         return reply
 
     async def write(self, path: str, *, method: str, **kwargs: Any) -> Reply:
-        """Send a request that changes something.
+        """Send a request that changes the state of the service.
 
         Raises
         ------
         UnknownOutcomeError
-            If it may have taken effect.
+            If the change may have taken effect.
         PlatformError
-            If it surely has not.
+            If the change has not taken effect.
 
         """
         try:
             reply = await self._send(path, method, kwargs)
-        except _NO_TRANSPORT as refused:
-            raise self._failure(PlatformError, path, refused) from refused
-        except _FAILURES as error:
-            raise self._failure(UnknownOutcomeError, path, error) from error
+        except _CONNECT_ERRORS as refused:
+            raise self._make_error(PlatformError, path, refused) from refused
+        except _CALL_ERRORS as error:
+            raise self._make_error(UnknownOutcomeError, path, error) from error
         if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            raise PlatformError('is down', step=path, peer=self.url)
+            raise PlatformError('service unavailable', step=path, peer=self.url)
         if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             raise UnknownOutcomeError(
                 f'answered {reply.status}', step=path, peer=self.url
@@ -95,38 +95,40 @@
     async def _send(
         self, path: str, method: str, kwargs: dict[str, Any]
     ) -> Reply:
-        seconds = self.timeout_ms / MS_PER_SECOND
+        timeout_s = self.timeout_ms / MS_PER_SECOND
         response = await self.client.request(
             f'{self.url}{path}',
             method=method,
             timeouts=Timeouts(
-                sock_connect=seconds, sock_read=seconds, request_timeout=seconds
+                sock_connect=timeout_s,
+                sock_read=timeout_s,
+                request_timeout=timeout_s,
             ),
             **kwargs,
         )
         etag = response.headers.get('etag', '')
-        if response.status_code in _WITHOUT_BODY:
+        if response.status_code in _STATUSES_WITHOUT_BODY:
             return Reply(response.status_code, None, etag)
         return Reply(response.status_code, await response.json(), etag)
 
-    def _failure(
-        self, kind: type[PlatformError], path: str, error: Exception
+    def _make_error(
+        self, error_type: type[PlatformError], path: str, error: Exception
     ) -> PlatformError:
-        return kind(
-            f'no good answer: {type(error).__name__} {error}'.strip(),
+        return error_type(
+            f'call failed: {type(error).__name__} {error}'.strip(),
             step=path,
             peer=self.url,
         )
 
 
 class TimeoutSafeClient(aiosonic.HTTPClient):
-    """An HTTP client that never gives a late answer to another call.
+    """HTTP client that never returns a late response to another call.
 
     Explanation
     -----------
-    The library keeps a connection whose call has timed out, and takes its
-    late answer for the next call's.  So after such a failure no later call
-    uses the connections of before; calls that are under way go on.
+    The library reuses a connection whose call has timed out, and would
+    return its late response to the next call.  After such a failure later
+    calls use a new connector; calls in progress finish on the old one.
     """
 
     connector: TCPConnector
@@ -135,32 +137,32 @@
         """Open the first connector."""
         super().__init__(make_connector())
         self._make_connector = make_connector
-        self._old: list[TCPConnector] = []
+        self._retired: list[TCPConnector] = []
 
     async def request(self, *args: Any, **kwargs: Any) -> aiosonic.HttpResponse:
-        """Send a request."""
+        """Send a request; replace the connector if the call is interrupted."""
         connector = self.connector
         try:
             return await super().request(*args, **kwargs)
-        except _LEFT_OPEN:
+        except _INTERRUPTIONS:
             if self.connector is connector:
                 self.connector = self._make_connector()
-                self._old.append(connector)
-            if len(self._old) > _OLD_MAX:
-                # Its calls have timed out by now.
-                await self._old.pop(0).cleanup()
+                self._retired.append(connector)
+            if len(self._retired) > _MAX_RETIRED_CONNECTORS:
+                # The calls of the oldest connector have timed out by now.
+                await self._retired.pop(0).cleanup()
             raise
 
     async def aclose(self) -> None:
         """Close all connections."""
-        for connector in (self.connector, *self._old):
+        for connector in (self.connector, *self._retired):
             await connector.cleanup()
 
 
 def make_client(
     connections: int, *, reuse_connections: bool = True
 ) -> TimeoutSafeClient:
-    """Give an HTTP client; its owner closes it."""
+    """Return an HTTP client, which the caller must close."""
     pool = PoolConfig(
         size=connections, max_conn_requests=None if reuse_connections else 0
     )
@@ -175,14 +177,14 @@
     *,
     reuse_connections: bool = True,
 ) -> AsyncIterator[aiosonic.HTTPClient]:
-    """Give an HTTP client that is closed at the end.
+    """Open an HTTP client until the end of the `with`.
 
     Parameters
     ----------
     connections : int
-        How many calls may run at once, over all hosts; more wait.
+        How many calls may run at once over all hosts; others wait.
     reuse_connections : bool
-        Whether a connection serves more than one call.
+        Whether a connection may serve more than one call.
 
     """
     client = make_client(connections, reuse_connections=reuse_connections)
--- a/seampond/backing/http_tables.py
+++ b/seampond/backing/http_tables.py
@@ -1,4 +1,4 @@
-"""The table service over HTTP."""
+"""HTTP client of the table service."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -10,20 +10,20 @@
 from seampond.errors import ConflictError, PlatformError
 
 
-def _row(table: str, content: dict[str, Any]) -> Row:
+def _parse_row(table: str, content: dict[str, Any]) -> Row:
     return Row(table, content['key'], content['version'], content['content'])
 
 
 def _expect_ok(reply: Reply, path: str, service: ServiceClient) -> None:
     if reply.status != HTTPStatus.OK:
         raise PlatformError(
-            f'answered {reply.status}: {reply.content}',
+            f'unexpected status {reply.status}: {reply.content}',
             step=path,
             peer=service.url,
         )
 
 
-def _transaction(
+def _format_transaction(
     checks: Sequence[Check], writes: Sequence[Write]
 ) -> dict[str, Any]:
     return {
@@ -39,7 +39,7 @@
 
 
 def make_http_tables(service: ServiceClient) -> Tables:
-    """Give the table service behind `service`.
+    """Return the table service that `service` calls.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
     Returns
     -------
     Tables
-        The port; its calls raise `PlatformError` and its kin.
+        The interface; its calls raise `PlatformError` and subclasses.
 
     """
 
@@ -59,7 +59,7 @@
         if reply.status == HTTPStatus.NOT_FOUND:
             return None
         _expect_ok(reply, path, service)
-        return _row(table, reply.content)
+        return _parse_row(table, reply.content)
 
     async def scan(table: str, start: str, end: str, limit: int) -> list[Row]:
         path = f'/tables/{table}/rows'
@@ -67,14 +67,14 @@
             path, params={'start': start, 'end': end, 'limit': str(limit)}
         )
         _expect_ok(reply, path, service)
-        return [_row(table, content) for content in reply.content]
+        return [_parse_row(table, content) for content in reply.content]
 
     async def transact(
         checks: Sequence[Check], writes: Sequence[Write]
     ) -> None:
         path = '/transactions'
         reply = await service.write(
-            path, method='POST', json=_transaction(checks, writes)
+            path, method='POST', json=_format_transaction(checks, writes)
         )
         if reply.status == HTTPStatus.CONFLICT:
             raise ConflictError(
--- a/seampond/backing/objects.py
+++ b/seampond/backing/objects.py
@@ -1,4 +1,4 @@
-"""The port to the platform's object store."""
+"""Interface to the object store of the platform."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -15,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Objects:
-    """The two calls of the object store that the project uses."""
+    """The operations of the object store."""
 
     get: GetObject
     put: PutObject
 
 
 def make_http_objects(service: ServiceClient) -> Objects:
-    """Give the object store behind `service`.
+    """Return the object store that `service` calls.
 
     Returns
     -------
     Objects
-        ``get(key)`` gives None where there is no such object; both raise
-        `PlatformError`.
+        ``get(key)`` returns None if the object does not exist; both calls
+        raise `PlatformError`.
 
     """
 
@@ -44,7 +44,7 @@
         reply = await service.write(path, method='PUT', json=content)
         if reply.status != HTTPStatus.OK:
             raise PlatformError(
-                f'answered {reply.status}', step=path, peer=service.url
+                f'unexpected status {reply.status}', step=path, peer=service.url
             )
 
     return Objects(get, put)
--- a/seampond/backing/standin/__init__.py
+++ b/seampond/backing/standin/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform's services, in memory, for trying and tests."""
+"""In-memory stand-ins for the platform services, for tests and demos."""
 
 from seampond.backing.standin.app import make_platform_app as make_platform_app
 from seampond.backing.standin.memory import MemoryTables as MemoryTables
--- a/seampond/backing/standin/app.py
+++ b/seampond/backing/standin/app.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP, with faults on demand."""
+"""Platform services over HTTP with fault injection."""
 
 import secrets
 from collections import deque
@@ -22,13 +22,13 @@
 from seampond.errors import ConflictError
 from seampond.settings.models import PlatformStandInSettings
 
-_STUCK_MS = 3_600_000
-_TAG_BYTES = 4
-_MIN_COMPRESSED = 1024
-_MISSING = JSONResponse(
+_LOST_ANSWER_DELAY_MS = 3_600_000
+_START_ID_BYTES = 4
+_MIN_COMPRESSED_BYTES = 1024
+_NOT_FOUND_RESPONSE = JSONResponse(
     {'error': 'no such row or object'}, status_code=HTTPStatus.NOT_FOUND
 )
-_DOWN = JSONResponse(
+_DOWN_RESPONSE = JSONResponse(
     {'error': 'down'}, status_code=HTTPStatus.SERVICE_UNAVAILABLE
 )
 
@@ -37,24 +37,24 @@
 
 @dataclass(frozen=True)
 class VmListVersion:
-    """The VM list as it was from `since_ms` on."""
+    """A version of the VM list, valid from `since_ms` on."""
 
     since_ms: int
     vms: dict[str, VmRow]
 
 
 class Platform:
-    """All that the stand-ins hold."""
+    """State of the platform stand-ins."""
 
     def __init__(self, settings: PlatformStandInSettings, clock: Clock) -> None:
-        """Start with the VMs of the settings and no faults."""
+        """Start with the VMs and delays of the settings."""
         self._clock = clock
         vms = {
             vm.name: VmRow.model_validate(vm.model_dump())
             for vm in settings.vms
         }
         self._versions = deque([VmListVersion(0, vms)])
-        self.start_id = secrets.token_hex(_TAG_BYTES)
+        self.start_id = secrets.token_hex(_START_ID_BYTES)
         self.tables = MemoryTables()
         self.objects: dict[str, Any] = {}
         self.faults = Faults(
@@ -63,14 +63,17 @@
 
     @property
     def listed_vms(self) -> VmListVersion:
-        """The list as callers see it: late by the lag."""
-        horizon = self._clock.now() - self.faults.list_lag_ms
-        while len(self._versions) > 1 and self._versions[1].since_ms <= horizon:
+        """The version of the VM list that callers see, which may lag."""
+        visible_until_ms = self._clock.now() - self.faults.list_lag_ms
+        while (
+            len(self._versions) > 1
+            and self._versions[1].since_ms <= visible_until_ms
+        ):
             self._versions.popleft()
         return self._versions[0]
 
     def set_vm(self, name: str, row: VmRow | None) -> None:
-        """Change the true list; None removes the VM."""
+        """Add or replace a VM in the newest list; None removes it."""
         vms = dict(self._versions[-1].vms)
         vms.pop(name, None)
         if row is not None:
@@ -78,24 +81,24 @@
         self._versions.append(VmListVersion(self._clock.now(), vms))
 
     def inject_faults(self, endpoint: Endpoint) -> Endpoint:
-        """Wrap an endpoint in the faults in force."""
+        """Return the endpoint with the configured faults."""
 
-        async def wrapped(request: Request) -> Response:
+        async def faulty_endpoint(request: Request) -> Response:
             if self.faults.down:
-                return _DOWN
+                return _DOWN_RESPONSE
             await self._clock.sleep(self.faults.slow_ms)
             response = await endpoint(request)
             is_write = request.method != 'GET'
             if is_write and self.faults.lose_answers > 0:
-                # The effect stands; the caller never hears of it.
+                # The write took effect, but the caller gets no response.
                 self.faults.lose_answers -= 1
-                await self._clock.sleep(_STUCK_MS)
+                await self._clock.sleep(_LOST_ANSWER_DELAY_MS)
             return response
 
-        return wrapped
+        return faulty_endpoint
 
 
-def _row_json(row: Row) -> dict[str, Any]:
+def _format_row(row: Row) -> dict[str, Any]:
     return {'key': row.key, 'version': row.version, 'content': row.content}
 
 
@@ -104,7 +107,7 @@
         row = platform.tables.read(
             request.path_params['table'], request.path_params['key']
         )
-        return JSONResponse(_row_json(row)) if row else _MISSING
+        return JSONResponse(_format_row(row)) if row else _NOT_FOUND_RESPONSE
 
     async def scan(request: Request) -> Response:
         rows = platform.tables.scan(
@@ -113,7 +116,7 @@
             request.query_params['end'],
             int(request.query_params['limit']),
         )
-        return JSONResponse([_row_json(row) for row in rows])
+        return JSONResponse([_format_row(row) for row in rows])
 
     async def transact(request: Request) -> Response:
         body = Transaction.model_validate_json(await request.body())
@@ -140,7 +143,7 @@
     async def get_object(request: Request) -> Response:
         key = request.path_params['key']
         if key not in platform.objects:
-            return _MISSING
+            return _NOT_FOUND_RESPONSE
         return JSONResponse(platform.objects[key])
 
     async def put_object(request: Request) -> Response:
@@ -198,20 +201,19 @@
     ]
 
 
-async def _refuse_invalid(_request: Request, error: Exception) -> Response:
+async def _reject_invalid(_request: Request, error: Exception) -> Response:
     return JSONResponse(
         {'error': str(error)}, status_code=HTTPStatus.BAD_REQUEST
     )
 
 
 def make_platform_app(platform: Platform) -> Starlette:
-    """Give the web application of the stand-ins.
+    """Return the web application of the platform stand-ins.
 
     Explanation
     -----------
-    ``PUT /faults`` sets the faults: ``down``, ``slow_ms``,
-    ``lose_answers`` (that many writes take effect unheard) and
-    ``list_lag_ms``.  ``GET /counts`` tells reads and writes so far.
+    ``PUT /faults`` replaces the `Faults`; ``GET /counts`` returns the
+    number of reads and writes so far.
     """
     routes = [
         *_table_routes(platform),
@@ -221,10 +223,12 @@
     ]
     return Starlette(
         routes=routes,
-        middleware=[Middleware(GZipMiddleware, minimum_size=_MIN_COMPRESSED)],
+        middleware=[
+            Middleware(GZipMiddleware, minimum_size=_MIN_COMPRESSED_BYTES)
+        ],
         exception_handlers={
-            ValidationError: _refuse_invalid,
-            KeyError: _refuse_invalid,
-            ValueError: _refuse_invalid,
+            ValidationError: _reject_invalid,
+            KeyError: _reject_invalid,
+            ValueError: _reject_invalid,
         },
     )
--- a/seampond/backing/standin/memory.py
+++ b/seampond/backing/standin/memory.py
@@ -1,4 +1,4 @@
-"""The table service's rows, in memory."""
+"""In-memory table service."""
 
 from collections.abc import Sequence
 
@@ -7,7 +7,7 @@
 
 
 class MemoryTables:
-    """Rows by table and key; a transaction is one uninterrupted call."""
+    """Rows by table and key; transactions are atomic within an event loop."""
 
     def __init__(self) -> None:
         """Start with no rows."""
@@ -18,21 +18,21 @@
 
     @property
     def reads(self) -> int:
-        """Reads so far."""
+        """The number of reads and scans so far."""
         return self._reads
 
     @property
     def writes(self) -> int:
-        """Transactions so far."""
+        """The number of transactions so far."""
         return self._writes
 
     def read(self, table: str, key: str) -> Row | None:
-        """Give the row or None."""
+        """Return the row, or None if it does not exist."""
         self._reads += 1
         return self._rows.get(table, {}).get(key)
 
     def scan(self, table: str, start: str, end: str, limit: int) -> list[Row]:
-        """Give the rows with ``start <= key < end``, by key."""
+        """Return rows with ``start <= key < end``, ordered by key."""
         self._reads += 1
         rows = self._rows.get(table, {})
         keys = sorted(key for key in rows if start <= key < end)
@@ -41,7 +41,7 @@
     def transact(
         self, checks: Sequence[Check], writes: Sequence[Write]
     ) -> None:
-        """Do all writes if all checks hold, else raise `ConflictError`."""
+        """Apply all writes if all checks hold, else raise `ConflictError`."""
         self._writes += 1
         for check in checks:
             row = self._rows.get(check.table, {}).get(check.key)
@@ -52,7 +52,7 @@
             self._write(write)
 
     def as_tables(self) -> Tables:
-        """Give these rows as the port that the program uses."""
+        """Return the asynchronous interface to these rows."""
 
         async def read(table: str, key: str) -> Row | None:
             return self.read(table, key)
--- a/seampond/backing/standin/models.py
+++ b/seampond/backing/standin/models.py
@@ -1,4 +1,4 @@
-"""What the stand-ins accept over HTTP."""
+"""Request bodies of the platform stand-ins."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 class StrictModel(BaseModel):
-    """Base: unknown fields are errors."""
+    """Base model that rejects unknown fields."""
 
     model_config = ConfigDict(extra='forbid')
 
@@ -20,7 +20,7 @@
 
 
 class WriteBody(StrictModel):
-    """A write of a transaction; no content deletes."""
+    """A write of a transaction; content None deletes the row."""
 
     table: str
     key: str
@@ -28,14 +28,14 @@
 
 
 class Transaction(StrictModel):
-    """All writes if all checks hold."""
+    """A transaction: all writes are applied if all checks hold."""
 
     checks: tuple[CheckBody, ...]
     writes: tuple[WriteBody, ...]
 
 
 class VmRow(StrictModel):
-    """One VM in the list."""
+    """A VM of the list."""
 
     name: str
     hall: str
@@ -46,7 +46,20 @@
 
 
 class Faults(StrictModel):
-    """The faults in force."""
+    """The faults to inject.
+
+    Parameters
+    ----------
+    down : bool
+        Whether every call fails at once.
+    slow_ms : int
+        Delay before each response.
+    lose_answers : int
+        How many writes take effect without a response.
+    list_lag_ms : int
+        How far the VM list is out of date.
+
+    """
 
     down: bool = False
     slow_ms: int = 0
--- a/seampond/backing/tables.py
+++ b/seampond/backing/tables.py
@@ -1,4 +1,4 @@
-"""The port to the platform's transactional table service."""
+"""Interface to the transactional table service of the platform."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A row and the version that its last write gave it."""
+    """A row and the version of its last write."""
 
     table: str
     key: str
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """The transaction holds only if the row has this version; 0: absent."""
+    """Condition that a row has this version; 0 means that it is absent."""
 
     table: str
     key: str
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Put the content, or delete the row if it is None."""
+    """Write of a row; content None deletes it."""
 
     table: str
     key: str
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tables:
-    """The three calls of the table service.
+    """The operations of the table service.
 
     Parameters
     ----------
     read : Callable[[str, str], Awaitable[Row | None]]
-        ``read(table, key)``; None where there is no row.
+        ``read(table, key)``: the row, or None if it does not exist.
     scan : Callable[[str, str, str, int], Awaitable[list[Row]]]
         ``scan(table, start, end, limit)``: rows with
-        ``start <= key < end``, by key, `limit` at most.
+        ``start <= key < end``, ordered by key, at most `limit`.
     transact : Callable[[Sequence[Check], Sequence[Write]], Awaitable[None]]
-        All writes if all checks hold, else `ConflictError`.
-        `UnknownOutcomeError` says that the writes may have taken effect;
-        any other `PlatformError` that they have not.
+        ``transact(checks, writes)``: apply all writes if all checks hold,
+        else raise `ConflictError`.  After `UnknownOutcomeError` the writes
+        may have taken effect; after any other `PlatformError` they have not.
 
     """
 
--- a/seampond/backing/tests/test_client.py
+++ b/seampond/backing/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client: as many calls at once as it was made for."""
+"""Guard against queued calls and late responses in the HTTP client."""
 
 import asyncio
 import unittest
@@ -17,13 +17,13 @@
 
 
 class ClientTest(unittest.IsolatedAsyncioTestCase):
-    async def test_all_calls_run_at_once(self) -> None:
+    async def test_allowed_calls_run_concurrently(self) -> None:
         arrived = asyncio.Semaphore(0)
-        everyone = asyncio.Event()
+        all_arrived = asyncio.Event()
 
         async def wait_for_all(_request: Request) -> Response:
             arrived.release()
-            await everyone.wait()
+            await all_arrived.wait()
             return PlainTextResponse('ok')
 
         app = Starlette(routes=[Route('/', wait_for_all)])
@@ -35,15 +35,15 @@
                 ]
                 for _ in calls:
                     await asyncio.wait_for(arrived.acquire(), 5)
-                everyone.set()
+                all_arrived.set()
                 answers = await asyncio.gather(*calls)
         self.assertEqual({answer.status_code for answer in answers}, {200})
 
-    async def test_late_answer_is_not_the_next_calls(self) -> None:
-        waits = iter((0, 0.4, 0.3))
+    async def test_late_response_is_not_returned_to_next_call(self) -> None:
+        delays_s = iter((0, 0.4, 0.3))
 
         async def answer(request: Request) -> Response:
-            await asyncio.sleep(next(waits))
+            await asyncio.sleep(next(delays_s))
             return PlainTextResponse(request.url.path)
 
         app = Starlette(routes=[Route('/{name}', answer)])
--- a/seampond/backing/vms.py
+++ b/seampond/backing/vms.py
@@ -1,4 +1,4 @@
-"""The port to the platform's list of VMs, which lags."""
+"""Interface to the VM list of the platform, which may be out of date."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vm:
-    """One VM as the platform last saw it."""
+    """A VM as the platform last listed it."""
 
     name: str
     hall: str
@@ -32,28 +32,28 @@
 
 @dataclass(slots=True)
 class _LastList:
-    """The last list read and the tag that the service gave it."""
+    """The last list received and its entity tag."""
 
     etag: str = ''
     vms: tuple[Vm, ...] = ()
 
 
-def _parse(content: Any, service: ServiceClient) -> tuple[Vm, ...]:
+def _parse_vms(content: Any, service: ServiceClient) -> tuple[Vm, ...]:
     try:
         return tuple(Vm(**row) for row in content)
     except TypeError as error:
         raise PlatformError(
-            f'is not a VM list: {error}', step=_PATH, peer=service.url
+            f'invalid VM list: {error}', step=_PATH, peer=service.url
         ) from error
 
 
 def make_vm_lister(service: ServiceClient) -> ListVms:
-    """Give the VM list behind `service`; it raises `PlatformError`.
+    """Return a function that lists the VMs or raises `PlatformError`.
 
     Explanation
     -----------
-    A list that has not changed is not sent again: the request carries the
-    tag of the last one [1]_.  One that has comes compressed.
+    Requests carry the entity tag of the last list, so an unchanged list is
+    not sent again [1]_; a changed list is sent compressed.
 
     References
     ----------
@@ -68,7 +68,7 @@
             headers['if-none-match'] = last.etag
         reply = await service.read(_PATH, headers=headers)
         if reply.status != HTTPStatus.NOT_MODIFIED:
-            last.vms = _parse(reply.content, service)
+            last.vms = _parse_vms(reply.content, service)
             last.etag = reply.etag
         return last.vms
 
