--- a/seampond/gateway/tests/test_draining.py
+++ b/seampond/gateway/tests/test_draining.py
@@ -104,7 +104,7 @@
     async def test_stopping_gateway_answers_new_callers(self) -> None:
         """If all gateways stop, callers still reach them."""
         gateway = await self.start_ready()
-        asked = asyncio.create_task(self.ask(gateway))
+        pending_request = asyncio.create_task(self.ask(gateway))
         await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
         await gateway.components.clock.sleep(
@@ -115,7 +115,7 @@
             response = await self.ask(gateway, request_id='r2')
             status = response.status_code
         self.release.set()
-        self.assertEqual((await asked).status_code, HTTPStatus.OK)
+        self.assertEqual((await pending_request).status_code, HTTPStatus.OK)
         await stopped
         self.assertIn(status, (HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE))
 
@@ -123,7 +123,7 @@
         """A request that cannot end in time must not be started."""
         bounds = BoundSettings(stop_ms=_SHORT_STOP_MS)
         gateway = await self.start_ready(bounds=bounds)
-        asked = asyncio.create_task(self.ask(gateway))
+        pending_request = asyncio.create_task(self.ask(gateway))
         await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
         await wait_until(lambda: not gateway.components.is_ready)
@@ -132,7 +132,7 @@
         self.assertGreater(float(response.headers['retry-after']), 0)
         self.assertEqual(len(self.server.received), 1)
         self.release.set()
-        self.assertEqual((await asked).status_code, HTTPStatus.OK)
+        self.assertEqual((await pending_request).status_code, HTTPStatus.OK)
         await stopped
 
     async def test_late_stream_is_refused(self) -> None:
@@ -143,7 +143,7 @@
         )
         admission = gateway.components.web.admission
         await wait_until(lambda: admission.version == 2)
-        asked = asyncio.create_task(self.ask(gateway))
+        pending_request = asyncio.create_task(self.ask(gateway))
         await wait_until(lambda: len(self.server.received) == 1)
         stopped = asyncio.create_task(gateway.drain())
         await gateway.components.clock.sleep(
@@ -154,5 +154,5 @@
         self.assertGreater(float(response.headers['retry-after']), 1)
         self.assertEqual(len(self.server.received), 1)
         self.release.set()
-        await asked
+        await pending_request
         await stopped
--- a/seampond/gateway/tests/test_suspension.py
+++ b/seampond/gateway/tests/test_suspension.py
@@ -158,11 +158,11 @@
         self.answer_ms = 1000
         for seconds in _JUMPS_S:
             await self._until_proved(gateway)
-            asked = asyncio.create_task(self._request_status(gateway))
+            pending_request = asyncio.create_task(self._request_status(gateway))
             await asyncio.sleep(0.2)
             self.steady_clock.suspend(seconds)
             before = time.monotonic()
-            status = await asked
+            status = await pending_request
             self.assertLess(time.monotonic() - before, 0.5)
             is_late = seconds * MS_PER_SECOND > _TIMEOUT_MS
             self.assertIn(status, (200, 504) if is_late else (200,))
@@ -187,11 +187,11 @@
         self.is_stream = True
         for seconds in _JUMPS_S:
             await self._until_proved(gateway)
-            asked = asyncio.create_task(self._request_raw(gateway))
+            pending_request = asyncio.create_task(self._request_raw(gateway))
             await asyncio.sleep(0.2)
             self.steady_clock.suspend(seconds)
             before = time.monotonic()
-            answer = await asked
+            answer = await pending_request
             self.assertLess(time.monotonic() - before, 1.5)
             is_whole = answer.endswith(b'0\r\n\r\n')
             self.assertEqual(is_whole, answer.count(b'data: ') == _EVENTS)
